--- a/internal/claim/history_test.go
+++ b/internal/claim/history_test.go
@@ -21,28 +21,28 @@
 	"github.com/beechhead/beechhead/internal/standin"
 )
 
-// input is an operation on one key; attempt tells apart the claims.
+// input is an operation on one key. Each claim attempt has its own number.
 type input struct {
 	key     string
 	op      string
 	attempt int
 }
 
-// keyState is what a key's claim is.
+// keyState is the state of a key's claim.
 type keyState struct {
 	state claim.State
-	// attempt is who holds or ended the claim.
+	// attempt is the attempt that holds or ended the claim.
 	attempt int
 }
 
-// output is what an operation returned: claimed, replay, or a refusal's
-// reason. attempt is whose answer was replayed.
+// output is the result of an operation: claimed, replay, or the reason of a
+// refusal. For a replay, attempt is the one whose response was returned.
 type output struct {
 	result  string
 	attempt int
 }
 
-// claimModel is what claims promise, for one key.
+// claimModel is the sequential specification of claims, for one key.
 var claimModel = porcupine.NondeterministicModel{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
@@ -63,10 +63,10 @@
 }
 
 func stepClaim(s keyState, in input, out output) []any {
-	mine := keyState{state: claim.Running, attempt: in.attempt}
+	held := keyState{state: claim.Running, attempt: in.attempt}
 	switch {
 	case in.op == "begin" && out.result == "claimed" && s.state == claim.Released:
-		return []any{mine}
+		return []any{held}
 	case in.op == "begin" && out.result == "replay" && s == (keyState{state: claim.Done, attempt: out.attempt}):
 		return []any{s}
 	case in.op == "begin" && out.result == string(outcome.ReasonInProgress) && s.state == claim.Running:
@@ -74,35 +74,35 @@
 	case in.op == "begin" && out.result == string(outcome.ReasonClaimUnknown) && s.state == claim.Unknown:
 		return []any{s}
 	case in.op == "begin" && out.result == string(outcome.ReasonStoreDown) && s.state == claim.Released:
-		// The claim may stand until it is released.
-		return []any{s, mine}
+		// The claim may be stored until it is released.
+		return []any{s, held}
 	case in.op == "begin" && out.result == string(outcome.ReasonStoreDown):
 		return []any{s}
-	case in.op == "dropped" && s == mine:
+	case in.op == "dropped" && s == held:
 		return []any{keyState{state: claim.Released}}
 	case in.op == "dropped":
 		return []any{s}
-	case in.op == string(claim.Released) && s == mine:
+	case in.op == string(claim.Released) && s == held:
 		return []any{keyState{state: claim.Released}}
-	case (in.op == string(claim.Done) || in.op == string(claim.Unknown)) && s == mine:
+	case (in.op == string(claim.Done) || in.op == string(claim.Unknown)) && s == held:
 		return []any{keyState{state: claim.State(in.op), attempt: in.attempt}}
 	}
 	return nil
 }
 
-// recorder is a history as it is recorded.
+// recorder records a history.
 type recorder struct {
 	began time.Time
 
 	mu      sync.Mutex
 	history []porcupine.Operation
-	// attempts numbers the begins.
+	// attempts is the number of calls of Begin so far.
 	attempts int
 }
 
 func (r *recorder) now() int64 { return time.Since(r.began).Nanoseconds() }
 
-func (r *recorder) add(client int, in input, call int64, out output) {
+func (r *recorder) record(client int, in input, call int64, out output) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.history = append(r.history, porcupine.Operation{ClientId: client, Input: in, Call: call, Output: out, Return: r.now()})
@@ -115,8 +115,8 @@
 	return r.attempts
 }
 
-// actor is one daemon that claims keys and ends the claims.
-type actor struct {
+// worker is one daemon that claims keys and ends the claims.
+type worker struct {
 	id       int
 	store    *claim.Store
 	recorder *recorder
@@ -124,16 +124,15 @@
 }
 
 const (
-	actors   = 3
-	keys     = 6
-	perActor = 14
-	seeds    = 12
+	workers      = 3
+	keys         = 6
+	opsPerWorker = 14
+	seeds        = 12
 )
 
-// Clerks' bookings are repeated through four hosts at once while the store
-// loses requests and replies and delivers writes late. However it goes, the
-// claims must look as if each operation happened at one moment: no key may be
-// held twice, and no answer or release may be lost.
+// Guards against two holders of one key and against lost responses or releases.
+// Requests with the same keys go to several hosts at once while the platform
+// loses requests and replies and delivers writes late.
 func TestHistoriesAreLinearizable(t *testing.T) {
 	for seed := range uint64(seeds) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -145,7 +144,8 @@
 	}
 }
 
-// The same check must catch a store whose claims are not conditional.
+// Checks that the model rejects the histories of a store whose claims are not
+// conditional writes.
 func TestUnconditionalClaimIsCaught(t *testing.T) {
 	expect := regexp.MustCompile(`"expect":\d+`)
 	for seed := range uint64(seeds) {
@@ -160,51 +160,52 @@
 			return
 		}
 	}
-	t.Errorf("none of %d histories is caught", seeds)
+	t.Errorf("the model accepted all %d histories", seeds)
 }
 
-// And one that does not know its own attempt when it reads it back: it takes
-// its own claim for another's, and nobody ends it.
+// Checks that the model rejects the histories of a store that does not
+// recognize its own attempt when it reads the row back: it treats its own claim
+// as another daemon's, so the claim is never ended.
 func TestClaimWithoutReadBackIsCaught(t *testing.T) {
 	attempt := []byte(`"attempt":"`)
-	forget := func(body []byte) []byte {
+	corruptAttempt := func(body []byte) []byte {
 		if bytes.Contains(body, []byte(`"committed":false`)) {
 			return bytes.ReplaceAll(body, attempt, append(attempt, 'x'))
 		}
 		return body
 	}
 	for seed := range uint64(seeds) {
-		if !linearizable(runHistory(seed, nil, forget)) {
+		if !linearizable(runHistory(seed, nil, corruptAttempt)) {
 			return
 		}
 	}
-	t.Errorf("none of %d histories is caught", seeds)
+	t.Errorf("the model accepted all %d histories", seeds)
 }
 
 func linearizable(history []porcupine.Operation) bool {
 	return porcupine.CheckOperations(claimModel.ToModel(), history)
 }
 
-func runHistory(seed uint64, change, reply func([]byte) []byte) []porcupine.Operation {
-	return runHistoryOn(standin.NewPlatform(), seed, change, reply)
+func runHistory(seed uint64, changeRequest, changeReply func([]byte) []byte) []porcupine.Operation {
+	return runHistoryOn(standin.NewPlatform(), seed, changeRequest, changeReply)
 }
 
-// runHistoryOn records a history of all actors.
-func runHistoryOn(p *standin.Platform, seed uint64, change, reply func([]byte) []byte) []porcupine.Operation {
+// runHistoryOn records the operations of all workers on a platform.
+func runHistoryOn(p *standin.Platform, seed uint64, changeRequest, changeReply func([]byte) []byte) []porcupine.Operation {
 	r := &recorder{began: time.Now()}
 	var running sync.WaitGroup
-	for id := range actors {
-		transport := standin.NewFaultyTransport(p.Handler(), seed*actors+uint64(id))
-		transport.Change = change
-		transport.Reply = reply
+	for id := range workers {
+		transport := standin.NewFaultyTransport(p.Handler(), seed*workers+uint64(id))
+		transport.Change = changeRequest
+		transport.Reply = changeReply
 		client := platform.NewClient("http://platform", transport, time.Minute)
-		a := &actor{
+		a := &worker{
 			id: id, recorder: r, rand: rand.New(rand.NewPCG(seed, uint64(id))),
 			store: claim.NewStore(clockwork.NewRealClock(), client, claim.Holder{Host: fmt.Sprint(id)}, metric.NewRegistry()),
 		}
 		running.Go(func() {
-			for range perActor {
-				a.act()
+			for range opsPerWorker {
+				a.claimOnce()
 			}
 			transport.Wait()
 		})
@@ -213,8 +214,8 @@
 	return r.history
 }
 
-// act claims a key and ends the claim.
-func (a *actor) act() {
+// claimOnce claims a random key and ends the claim.
+func (a *worker) claimOnce() {
 	ctx := context.Background()
 	key := fmt.Sprint(a.rand.IntN(keys))
 	n := a.recorder.attempt()
@@ -224,39 +225,39 @@
 	switch {
 	case err != nil:
 		reason := outcome.Of(err).Reason
-		a.recorder.add(a.id, in, call, output{result: string(reason)})
+		a.recorder.record(a.id, in, call, output{result: string(reason)})
 		if reason == outcome.ReasonStoreDown {
-			a.end("dropped", key, n, func() {})
+			a.finishOp("dropped", key, n, func() {})
 		}
 	case c.Replay != nil:
-		a.recorder.add(a.id, in, call, output{result: "replay", attempt: c.Replay.Status})
+		a.recorder.record(a.id, in, call, output{result: "replay", attempt: c.Replay.Status})
 	default:
-		a.recorder.add(a.id, in, call, output{result: "claimed"})
+		a.recorder.record(a.id, in, call, output{result: "claimed"})
 		a.endClaim(key, n, c)
 	}
 }
 
-// endClaim ends a claim in one of the three ways. The attempt's number stands
-// in for the answer's status.
-func (a *actor) endClaim(key string, n int, c *claim.Claim) {
+// endClaim ends a claim as done, unknown or released. The response's status is
+// the attempt number, which identifies the attempt in a replay.
+func (a *worker) endClaim(key string, n int, c *claim.Claim) {
 	ctx := context.Background()
 	switch a.rand.IntN(8) {
 	case 0:
-		a.end(string(claim.Done), key, n, func() { a.store.Finish(ctx, c, claim.Done, &service.Response{Status: n}) })
+		a.finishOp(string(claim.Done), key, n, func() { a.store.Finish(ctx, c, claim.Done, &service.Response{Status: n}) })
 	case 1:
-		a.end(string(claim.Unknown), key, n, func() { a.store.Finish(ctx, c, claim.Unknown, nil) })
+		a.finishOp(string(claim.Unknown), key, n, func() { a.store.Finish(ctx, c, claim.Unknown, nil) })
 	default:
-		a.end(string(claim.Released), key, n, func() { a.store.Release(ctx, c) })
+		a.finishOp(string(claim.Released), key, n, func() { a.store.Release(ctx, c) })
 	}
 }
 
-// end records an operation that lasts until nothing is left to settle.
-func (a *actor) end(op, key string, n int, do func()) {
+// finishOp records an operation that lasts until no final write is pending.
+func (a *worker) finishOp(op, key string, n int, do func()) {
 	call := a.recorder.now()
 	do()
 	for a.store.Unsettled() > 0 {
 		a.store.Settle(context.Background())
 		time.Sleep(time.Millisecond)
 	}
-	a.recorder.add(a.id, input{key: key, op: op, attempt: n}, call, output{})
+	a.recorder.record(a.id, input{key: key, op: op, attempt: n}, call, output{})
 }
--- a/internal/claim/list.go
+++ b/internal/claim/list.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// Retention is how long an ended claim is kept. A key that is repeated
-	// later is a new one. It is far longer than a write can be on its way.
+	// Retention is how long an ended claim is kept. After that, a request with
+	// the same key counts as new. It is far longer than a write can be delayed.
 	Retention = 24 * time.Hour
-	// MaxPage bounds a page of a list.
+	// MaxPage is the maximum number of claims in one page of a list.
 	MaxPage = 500
-	// sweepPage and sweepInterval bound the reads of the sweep, sweepBatch
-	// the rows of one of its writes.
-	sweepPage     = 500
-	sweepInterval = time.Second
-	sweepBatch    = 50
-	// sweepRest is the time between two passes over all claims.
-	sweepRest = 10 * time.Minute
+	// sweepPageSize and sweepPageInterval limit the read rate of a sweep;
+	// sweepBatchSize is the maximum number of rows deleted by one write.
+	sweepPageSize     = 500
+	sweepPageInterval = time.Second
+	sweepBatchSize    = 50
+	// sweepPassInterval is the time between two passes over all claims.
+	sweepPassInterval = 10 * time.Minute
 )
 
-// Entry is a claim as operators see it, without its answer.
+// Entry is a claim as listed for operators, without its response.
 type Entry struct {
 	Scope
 	State  State     `json:"state"`
@@ -34,15 +34,15 @@
 	Holder Holder    `json:"holder"`
 }
 
-// Page is a part of the list of claims.
+// Page is one page of the list of claims.
 type Page struct {
 	Claims []Entry `json:"claims"`
-	// Next continues the list; empty at its end.
+	// Next is the position to continue from; empty on the last page.
 	Next string `json:"next,omitempty"`
 }
 
-// List returns up to limit claims after a place in the list, of one account
-// unless it is empty.
+// List returns up to limit claims after the given position. If account is not
+// empty, it returns only claims of that account.
 func (s *Store) List(ctx context.Context, account table.AccountName, after string, limit int) (page Page, err error) {
 	prefix := ""
 	if account != "" {
@@ -70,21 +70,21 @@
 	return page, nil
 }
 
-// Sweep deletes claims past their retention until ctx ends. may tells whether
-// this daemon is the one that sweeps; it is asked before each page.
-func (s *Store) Sweep(ctx context.Context, may func(context.Context) bool) {
+// Sweep deletes expired claims until ctx ends. isSweeper reports whether this
+// daemon should sweep; it is called before each page.
+func (s *Store) Sweep(ctx context.Context, isSweeper func(context.Context) bool) {
 	after := ""
 	for {
-		wait := sweepInterval
+		wait := sweepPageInterval
 		if after == "" {
-			wait = sweepRest
+			wait = sweepPassInterval
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-s.clock.After(wait):
 		}
-		if !may(ctx) {
+		if !isSweeper(ctx) {
 			after = ""
 			continue
 		}
@@ -95,10 +95,10 @@
 	}
 }
 
-// SweepPage deletes the expired among the claims of one page and returns
-// where the next one begins; empty after the last.
+// SweepPage deletes the expired claims of one page and returns the position of
+// the next page, or an empty string after the last.
 func (s *Store) SweepPage(ctx context.Context, after string) (next string, err error) {
-	rows, err := s.client.Scan(ctx, platform.ScanRequest{Table: claimsTable, After: after, Limit: sweepPage})
+	rows, err := s.client.Scan(ctx, platform.ScanRequest{Table: claimsTable, After: after, Limit: sweepPageSize})
 	if err != nil {
 		return after, errors.Wrap(err, "sweep claims")
 	}
@@ -114,30 +114,31 @@
 			}
 		}
 		batch = append(batch, platform.Write{Key: row.Key, Expect: row.Version, Delete: true})
-		if len(batch) == sweepBatch {
+		if len(batch) == sweepBatchSize {
 			s.deleteBatch(ctx, batch)
 			batch = nil
 		}
 	}
 	s.deleteBatch(ctx, batch)
-	if len(rows) < sweepPage {
+	if len(rows) < sweepPageSize {
 		return "", nil
 	}
 	return rows[len(rows)-1].Key.Key, nil
 }
 
-// expired tells whether a claim may be forgotten. A running one whose holder
-// never ended it is kept as long again, so that it has stopped for certain.
+// expired reports whether a claim may be deleted. A running claim whose holder
+// never ended it is kept twice as long, so that its execution has certainly
+// ended.
 func (s *Store) expired(r *Record) bool {
-	keep := Retention
+	retention := Retention
 	if r.State == Running {
-		keep = 2 * Retention
+		retention = 2 * Retention
 	}
-	return s.clock.Since(r.At) > keep
+	return s.clock.Since(r.At) > retention
 }
 
-// deleteBatch deletes rows that have not changed. What fails is found again
-// by the next pass.
+// deleteBatch deletes rows that have not changed since they were read. Rows
+// that could not be deleted are found again by the next pass.
 func (s *Store) deleteBatch(ctx context.Context, batch []platform.Write) {
 	if len(batch) == 0 {
 		return
--- a/internal/claim/record.go
+++ b/internal/claim/record.go
@@ -14,32 +14,35 @@
 const (
 	claimsTable  = "claims"
 	objectPrefix = "claim-"
-	// maxInline is the largest answer, in bytes of its body, that is kept in
-	// the row; larger ones go to the object store.
-	maxInline = 16 << 10
-	// accountDigits is how many digits of its account's hash a row's key
-	// begins with, so that an account's claims can be listed.
-	accountDigits = 16
+	// maxInlineBytes is the largest response body that is stored in the row;
+	// larger ones are stored in the object store.
+	maxInlineBytes = 16 << 10
+	// accountHashDigits is the length of the prefix of a row's key that is
+	// taken from the account's hash. It allows listing the claims of one
+	// account.
+	accountHashDigits = 16
 )
 
-// State is where a claim stands.
+// State is the state of a claim.
 type State string
 
 // The states of a claim.
 const (
-	// Running claims belong to their holder for good; nobody takes them over.
+	// Running claims belong to their holder permanently; no other daemon takes
+	// them over.
 	Running State = "running"
-	// Done claims keep the answer.
+	// Done claims have a stored response.
 	Done State = "done"
 	// Unknown claims may have been executed.
 	Unknown State = "unknown"
-	// Released claims were given up by their own holder, which knows that it
-	// sent nothing. The row stays, so that its version goes on growing and a
-	// write that is still on its way can't pass for a newer one.
+	// Released claims were released by their own holder, which had not sent the
+	// request. The row is kept, so that its version keeps increasing and a
+	// delayed write can't be mistaken for a newer one.
 	Released State = "released"
 )
 
-// Scope is what a key is unique in, and the key.
+// Scope identifies a request: an idempotency key and the account and service
+// within which it is unique.
 type Scope struct {
 	Account table.AccountName `json:"account"`
 	Service table.Pool        `json:"service"`
@@ -55,36 +58,37 @@
 // Record is the value of a claim's row.
 type Record struct {
 	Scope
-	// Attempt is drawn at random by the daemon that claims.
+	// Attempt is a random id chosen by the daemon that claims the key.
 	Attempt string `json:"attempt"`
 	Holder  Holder `json:"holder"`
-	// BodyHash binds the key to method, path and body.
+	// BodyHash is the hash of the method, path and body that the key is bound
+	// to.
 	BodyHash string `json:"bodyHash"`
 	State    State  `json:"state"`
-	// At is when the claim came to its state, by the holder's clock.
+	// At is when the claim entered its state, according to the holder's clock.
 	At time.Time `json:"at"`
-	// Response is the stored answer of a done claim, unless Object names
-	// where it is.
+	// Response is the stored response of a done claim. If Object is set, the
+	// response is stored in the object of that name instead.
 	Response *service.Response `json:"response,omitempty"`
 	Object   string            `json:"object,omitempty"`
 }
 
 func (r *Record) objectName() string { return objectPrefix + r.Attempt }
 
-// rowKey returns the key of a scope's row.
+// rowKey returns the key of the row for a scope.
 func rowKey(s Scope) platform.Key {
 	id := hash(string(s.Account) + "\x00" + string(s.Service) + "\x00" + s.Key)
 	return platform.Key{Table: claimsTable, Key: accountPrefix(s.Account) + id}
 }
 
-func accountPrefix(a table.AccountName) string { return hash(string(a))[:accountDigits] + "." }
+func accountPrefix(a table.AccountName) string { return hash(string(a))[:accountHashDigits] + "." }
 
 func hash(text string) string {
 	sum := sha256.Sum256([]byte(text))
 	return hex.EncodeToString(sum[:])
 }
 
-// encode encodes a value of this package, which always succeeds.
+// encode encodes a value of this package, which can't fail.
 func encode(v any) json.RawMessage {
 	data, err := json.Marshal(v)
 	if err != nil {
--- a/internal/claim/script_test.go
+++ b/internal/claim/script_test.go
@@ -28,10 +28,10 @@
 }
 
 type step struct {
-	// On names the daemon.
+	// On is the name of the daemon.
 	On string `json:"on"`
 	Do string `json:"do"`
-	// Key and Body are k-1 and "body" if empty.
+	// Key and Body default to k-1 and "body".
 	Key  string `json:"key"`
 	Body string `json:"body"`
 	// Want is claimed, replay or the reason of a refusal.
@@ -45,9 +45,10 @@
 	Bytes  int                    `json:"bytes"`
 }
 
-// A clerk repeats a booking through several hosts while the store loses
-// replies, is down, or delivers a write late, and while hosts vanish. At most
-// one host may run it; the others must give its answer or say truly why not.
+// Guards against executing a request twice, and against a false response to a
+// repeated one. The same request is sent through several hosts while the
+// platform loses replies, is down or delivers a write late, and while hosts
+// fail.
 func TestScripts(t *testing.T) {
 	data, err := os.ReadFile("testdata/claims.json")
 	if err != nil {
@@ -60,7 +61,7 @@
 	for _, s := range scripts {
 		t.Run(s.Name, func(t *testing.T) {
 			t.Parallel()
-			r := newRun(t)
+			r := newHarness(t)
 			for i, step := range s.Steps {
 				r.step(fmt.Sprintf("step %d (%s)", i+1, step.Do), step)
 			}
@@ -68,16 +69,16 @@
 	}
 }
 
-// run is a platform with two daemons.
-type run struct {
+// harness is a platform with two daemons.
+type harness struct {
 	t        *testing.T
 	clock    *clockwork.FakeClock
 	platform *standin.Platform
-	daemons  map[string]*claimer
+	daemons  map[string]*testDaemon
 }
 
-// claimer is one daemon as far as claims are concerned.
-type claimer struct {
+// testDaemon is the part of a daemon that handles claims.
+type testDaemon struct {
 	store     *claim.Store
 	transport *standin.LateTransport
 	holder    claim.Holder
@@ -85,23 +86,23 @@
 	gone      bool
 }
 
-func newRun(t *testing.T) *run {
-	r := &run{t: t, clock: clockwork.NewFakeClock(), platform: standin.NewPlatform(), daemons: map[string]*claimer{}}
+func newHarness(t *testing.T) *harness {
+	r := &harness{t: t, clock: clockwork.NewFakeClock(), platform: standin.NewPlatform(), daemons: map[string]*testDaemon{}}
 	server := httptest.NewServer(r.platform.Handler())
 	t.Cleanup(server.Close)
 	for i, name := range []string{"a", "b"} {
 		transport := &standin.LateTransport{Next: &http.Transport{}}
 		holder := claim.Holder{Host: name, Incarnation: uint64(i)}
-		// The platform's client waits on the real clock between retries.
+		// The platform client waits on the real clock between retries.
 		client := platform.NewClient(server.URL, transport, time.Minute).For(platform.UseClaims)
 		s := claim.NewStore(r.clock, client, holder, metric.NewRegistry())
 		s.Gone = func(h claim.Holder) bool { return r.daemons[h.Host].gone }
-		r.daemons[name] = &claimer{store: s, transport: transport, holder: holder, claims: map[string]*claim.Claim{}}
+		r.daemons[name] = &testDaemon{store: s, transport: transport, holder: holder, claims: map[string]*claim.Claim{}}
 	}
 	return r
 }
 
-func (r *run) step(name string, s step) {
+func (r *harness) step(name string, s step) {
 	r.t.Helper()
 	d := r.daemons[s.On]
 	key := s.Key
@@ -143,7 +144,7 @@
 	}
 }
 
-func (r *run) check(name string, s step) {
+func (r *harness) check(name string, s step) {
 	r.t.Helper()
 	rows := r.platform.Rows("claims")
 	switch s.Do {
@@ -162,11 +163,11 @@
 			}
 		}
 	default:
-		r.t.Fatalf("%s: no such step", name)
+		r.t.Fatalf("%s: unknown step", name)
 	}
 }
 
-func (r *run) begin(name string, d *claimer, key string, s step) {
+func (r *harness) begin(name string, d *testDaemon, key string, s step) {
 	r.t.Helper()
 	body := s.Body
 	if body == "" {
@@ -193,8 +194,8 @@
 	}
 }
 
-// checkOutcome checks that a refusal says what is true of the request.
-func (r *run) checkOutcome(name string, refusal *outcome.Refusal) {
+// checkOutcome checks that a refusal reports the right outcome of the request.
+func (r *harness) checkOutcome(name string, refusal *outcome.Refusal) {
 	r.t.Helper()
 	want := outcome.Unknown
 	if refusal.Reason == outcome.ReasonStoreDown || refusal.Reason == outcome.ReasonOtherBody {
@@ -216,9 +217,10 @@
 	return &service.Response{Status: http.StatusConflict, Header: http.Header{"X-Booth": {"1"}}, Body: []byte(body)}
 }
 
-// An operator asks for one account's claims while there are many of others.
+// Guards against a list of one account's claims that includes other accounts,
+// misses claims or repeats them across pages.
 func TestList(t *testing.T) {
-	r := newRun(t)
+	r := newHarness(t)
 	s := r.daemons["a"].store
 	for i := range 7 {
 		for _, account := range []table.AccountName{"studio", "kiosk"} {
@@ -248,10 +250,11 @@
 	}
 }
 
-// The store stays down while many large answers end. They wait within a bound;
-// beyond it, answers are dropped and repeats are told the truth.
+// Guards against unbounded memory use when many large responses wait for a
+// platform that is down. Responses beyond the limit are dropped, and repeated
+// requests are told that the outcome is unknown.
 func TestUnsettledAnswersAreBounded(t *testing.T) {
-	r := newRun(t)
+	r := newHarness(t)
 	d := r.daemons["a"]
 	const size = 64 << 10
 	d.store.MaxUnsettled = 4 * size
--- a/internal/lease/keeper.go
+++ b/internal/lease/keeper.go
@@ -7,19 +7,19 @@
 	"github.com/go-faster/errors"
 )
 
-// Keeper keeps one lease, as far as it can. It is not safe for concurrent use,
-// and neither is its holder.
+// Keeper acquires and renews one lease. It is not safe for concurrent use, and
+// neither is its holder.
 type Keeper struct {
 	holder *Holder
 	name   string
 	lease  *Lease
 }
 
-// NewKeeper returns a keeper of the lease of that name.
+// NewKeeper returns a keeper for the lease with the given name.
 func NewKeeper(h *Holder, name string) *Keeper { return &Keeper{holder: h, name: name} }
 
-// Hold acquires the lease, or renews it if that is due, and tells whether it
-// holds for at least margin more.
+// Hold acquires the lease, or renews it if that is due, and reports whether it
+// remains valid for longer than margin.
 func (k *Keeper) Hold(ctx context.Context, margin time.Duration) bool {
 	switch {
 	case !k.holder.Valid(k.lease, 0):
@@ -27,7 +27,7 @@
 		if l, err := k.holder.Acquire(ctx, k.name); err == nil {
 			k.lease = l
 		}
-	case k.holder.due(k.lease):
+	case k.holder.needsRenewal(k.lease):
 		if err := k.holder.Renew(ctx, k.lease); errors.Is(err, ErrHeld) {
 			k.lease = nil
 		}
@@ -35,20 +35,20 @@
 	return k.Valid(margin)
 }
 
-// Valid tells, without asking the platform, whether the lease holds for at
-// least margin more.
+// Valid reports whether the lease remains valid for longer than margin, without
+// a call to the platform.
 func (k *Keeper) Valid(margin time.Duration) bool { return k.holder.Valid(k.lease, margin) }
 
-// Lease returns the lease; nil without one.
+// Lease returns the current lease, or nil if there is none.
 func (k *Keeper) Lease() *Lease { return k.lease }
 
-// Forget drops a lease that is known to be lost.
+// Forget discards a lease that is known to be lost.
 func (k *Keeper) Forget() { k.lease = nil }
 
-// GiveUp gives the lease up if it is held.
+// GiveUp releases the lease if it is held.
 func (k *Keeper) GiveUp(ctx context.Context) {
 	if k.holder.Valid(k.lease, 0) {
-		// A lease that can't be given up ends by itself.
+		// On failure the lease expires by itself.
 		_ = k.holder.GiveUp(ctx, k.lease)
 	}
 	k.lease = nil
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,5 +1,5 @@
-// Package lease grants the sole right to do something, such as to give orders
-// to a group of endpoints, by rows in the platform's table service. See
+// Package lease grants exclusive rights, such as the right to send orders to a
+// group of endpoints. Each lease is a row in the platform's table service. See
 // docs/design/leases.md.
 package lease
 
@@ -20,44 +20,46 @@
 const leasesTable = "leases"
 
 const (
-	// Duration is how long a lease lasts after the request for it was sent.
+	// Duration is how long a lease is valid, counted from before the request
+	// for it was sent.
 	Duration = 15 * time.Second
-	// RenewAfter is when a lease is renewed: three renewals may fail before
-	// it ends.
+	// RenewAfter is the age at which a lease is renewed. Three renewals may
+	// fail before it expires.
 	RenewAfter = 4 * time.Second
 )
 
-// ErrHeld says that another holder has the lease.
+// ErrHeld means that another holder has the lease.
 var ErrHeld = errors.New("another holder has the lease")
 
-// record is the value of a lease's row. Rows are never deleted, so that their
-// versions, and with them the fencing numbers, go on growing.
+// record is the value of a lease's row. Rows are never deleted, because fencing
+// numbers are derived from row versions, which must keep increasing.
 type record struct {
 	Holder string `json:"holder"`
-	// Write is drawn at random for each write.
+	// Write is a random id of the write.
 	Write string `json:"write"`
 	// Fence is the row's version at the last takeover.
 	Fence uint64 `json:"fence"`
-	// DurationMs is how long the holder may use the lease; zero if it has
-	// given it up.
+	// DurationMs is how long the holder may use the lease, or zero if the
+	// holder has released it.
 	DurationMs int64 `json:"durationMs"`
 }
 
-// Lease is a right that ends by itself.
+// Lease is an exclusive right that expires.
 type Lease struct {
-	// Fence is larger than that of any earlier holder, and stays the same
-	// over renewals.
+	// Fence is the fencing number. It is larger than that of any earlier holder
+	// and does not change on renewal.
 	Fence uint64
-	// Taken is when the lease was taken over, before the request for it.
+	// Taken is when the lease was acquired, measured before the request was
+	// sent.
 	Taken time.Time
 
 	name string
-	// version is the row's, as far as known.
+	// version is the last known version of the row.
 	version uint64
-	// asked is when the last request that took effect was about to be sent.
-	// Counted from there on the monotonic clock, the lease ends here before
-	// anybody else may count it as ended.
-	asked time.Time
+	// requestedAt is the time just before the last successful write was sent.
+	// The expiry is counted from there on the monotonic clock, so the lease
+	// expires here before any other holder may consider it expired.
+	requestedAt time.Time
 }
 
 // Holder acquires leases for one incarnation of a daemon. It is not safe for
@@ -68,44 +70,47 @@
 	metrics *metric.Registry
 	// id is unique to the holder.
 	id string
-	// seen is when a version of a foreign lease was first seen.
-	seen map[string]sighting
+	// observed has, by name, when the current version of another holder's lease
+	// was first seen.
+	observed map[string]observation
 }
 
-type sighting struct {
+type observation struct {
 	version uint64
 	at      time.Time
 }
 
 // NewHolder returns a holder with a random id.
 func NewHolder(clock clockwork.Clock, client *platform.Client, metrics *metric.Registry) *Holder {
-	return &Holder{clock: clock, client: client, metrics: metrics, id: rand.Text(), seen: map[string]sighting{}}
+	return &Holder{clock: clock, client: client, metrics: metrics, id: rand.Text(), observed: map[string]observation{}}
 }
 
-// Acquire takes the lease of that name, or returns ErrHeld. A foreign lease is
-// taken over only after it was seen unchanged for its whole duration on this
-// daemon's own clock, so that clocks need not agree. An old version read from
-// the platform does no harm: the conditional write then fails.
+// Acquire takes the lease with the given name, or returns ErrHeld. A lease of
+// another holder is taken over only after its row has been unchanged for the
+// whole duration according to this daemon's own clock, so the clocks of the
+// hosts need not agree. Reading a stale version from the platform is harmless,
+// because the conditional write then fails.
 func (h *Holder) Acquire(ctx context.Context, name string) (l *Lease, err error) {
 	rows, err := h.client.Read(ctx, rowKey(name))
 	if err != nil {
 		return nil, errors.Wrapf(err, "acquire lease %s", name)
 	}
 	row := rows[0]
-	if err := h.free(name, row); err != nil {
+	if err := h.checkAvailable(name, row); err != nil {
 		return nil, errors.Wrapf(err, "acquire lease %s", name)
 	}
 	l = &Lease{Fence: row.Version + 1, Taken: h.clock.Now(), name: name, version: row.Version}
-	if err := h.write(ctx, l, Duration); err != nil {
+	if err := h.writeRow(ctx, l, Duration); err != nil {
 		return nil, errors.Wrapf(err, "acquire lease %s", name)
 	}
-	delete(h.seen, name)
+	delete(h.observed, name)
 	h.count(name, "taken")
 	return l, nil
 }
 
-// free tells by ErrHeld whether a row stands for somebody's lease.
-func (h *Holder) free(name string, row platform.Row) error {
+// checkAvailable returns ErrHeld if the row is a lease that another holder may
+// still use.
+func (h *Holder) checkAvailable(name string, row platform.Row) error {
 	if row.Version == 0 {
 		return nil
 	}
@@ -114,59 +119,62 @@
 		return err
 	}
 	if r.Holder == h.id {
-		// An acquisition whose reply was lost, or a lease that has ended.
+		// The row is from an acquisition whose reply was lost, or from an
+		// expired lease.
 		return nil
 	}
-	now, seen := h.clock.Now(), h.seen[name]
-	if seen.version != row.Version {
-		seen = sighting{version: row.Version, at: now}
-		h.seen[name] = seen
+	now, last := h.clock.Now(), h.observed[name]
+	if last.version != row.Version {
+		last = observation{version: row.Version, at: now}
+		h.observed[name] = last
 	}
-	if r.DurationMs > 0 && now.Sub(seen.at) <= time.Duration(r.DurationMs)*time.Millisecond {
+	if r.DurationMs > 0 && now.Sub(last.at) <= time.Duration(r.DurationMs)*time.Millisecond {
 		return ErrHeld
 	}
 	return nil
 }
 
-// Renew prolongs a lease. ErrHeld says that it was lost; any other error
-// leaves it as it is, to be renewed again before its end.
+// Renew extends a lease. ErrHeld means that the lease is lost; after any other
+// error it stays valid until it expires and the renewal can be retried.
 func (h *Holder) Renew(ctx context.Context, l *Lease) error {
-	if err := h.write(ctx, l, Duration); err != nil {
+	if err := h.writeRow(ctx, l, Duration); err != nil {
 		return errors.Wrapf(err, "renew lease %s", l.name)
 	}
 	return nil
 }
 
-// GiveUp ends a lease, so that another holder need not wait for its end.
+// GiveUp releases a lease, so that another holder need not wait until it
+// expires.
 func (h *Holder) GiveUp(ctx context.Context, l *Lease) (err error) {
-	err = h.write(ctx, l, 0)
-	l.asked = time.Time{}
+	err = h.writeRow(ctx, l, 0)
+	l.requestedAt = time.Time{}
 	if err != nil {
-		return errors.Wrapf(err, "give up lease %s", l.name)
+		return errors.Wrapf(err, "release lease %s", l.name)
 	}
 	return nil
 }
 
-// write writes the lease's row over the version that the lease has. A row of
-// this holder's from an earlier write, whose reply was lost for good, is not
-// taken for this one: its duration was counted from an earlier time.
-func (h *Holder) write(ctx context.Context, l *Lease, d time.Duration) error {
-	const tries = 2
-	for range tries {
-		asked := h.clock.Now()
+// writeRow writes the lease's row if it still has the lease's version. If the
+// row is from an earlier write of this holder whose reply was never received,
+// the write is repeated over the new version instead of treated as successful:
+// the duration of the earlier write was counted from an earlier time.
+func (h *Holder) writeRow(ctx context.Context, l *Lease, d time.Duration) error {
+	const maxAttempts = 2
+	for range maxAttempts {
+		requestedAt := h.clock.Now()
 		value := record{Holder: h.id, Write: rand.Text(), Fence: l.Fence, DurationMs: d.Milliseconds()}
-		row, landed, err := h.client.Settle(ctx, platform.Write{Key: rowKey(l.name), Expect: l.version, Value: encode(value)},
+		row, applied, err := h.client.Settle(ctx, platform.Write{Key: rowKey(l.name), Expect: l.version, Value: encode(value)},
 			func(row platform.Row) bool { return decode(row).Write == value.Write })
 		if err != nil {
 			return err
 		}
-		if landed {
+		if applied {
 			l.version = row.Version
-			l.asked = asked
+			l.requestedAt = requestedAt
 			return nil
 		}
-		stands := decode(row)
-		if stands.Holder != h.id || stands.Fence != l.Fence {
+		current := decode(row)
+		if current.Holder != h.id || current.Fence != l.Fence {
 			break
 		}
 		l.version = row.Version
@@ -175,15 +183,16 @@
 	return ErrHeld
 }
 
-// Valid tells whether the lease will hold for at least margin more.
+// Valid reports whether the lease remains valid for longer than margin.
 func (h *Holder) Valid(l *Lease, margin time.Duration) bool {
-	return l != nil && !l.asked.IsZero() && h.clock.Now().Add(margin).Before(l.asked.Add(Duration))
+	return l != nil && !l.requestedAt.IsZero() && h.clock.Now().Add(margin).Before(l.requestedAt.Add(Duration))
 }
 
-// due tells whether the lease should be renewed.
-func (h *Holder) due(l *Lease) bool { return h.clock.Since(l.asked) >= RenewAfter }
+// needsRenewal reports whether the lease is due for renewal.
+func (h *Holder) needsRenewal(l *Lease) bool { return h.clock.Since(l.requestedAt) >= RenewAfter }
 
-// count counts by the part of the name before a slash.
+// count increments the counter of an event. The part of the name before a slash
+// is the kind of lease.
 func (h *Holder) count(name, event string) {
 	kind, _, _ := strings.Cut(name, "/")
 	h.metrics.Inc("lease." + kind + "." + event)
@@ -191,7 +200,7 @@
 
 func rowKey(name string) platform.Key { return platform.Key{Table: leasesTable, Key: name} }
 
-// encode encodes a record, which always succeeds.
+// encode encodes a record, which can't fail.
 func encode(r record) json.RawMessage {
 	data, err := json.Marshal(r)
 	if err != nil {
@@ -200,7 +209,7 @@
 	return data
 }
 
-// decode returns an empty record for what is none.
+// decode returns an empty record if the row's value is not a record.
 func decode(row platform.Row) (r record) {
 	if json.Unmarshal(row.Value, &r) != nil {
 		return record{}
--- a/internal/limit/keeper.go
+++ b/internal/limit/keeper.go
@@ -15,201 +15,212 @@
 )
 
 const (
-	// reviewInterval is how often the keeper looks at what to tell owners.
-	reviewInterval = 300 * time.Millisecond
-	// restateInterval is how often an owner is told of requests in progress
-	// though nothing has changed. A new owner waits longer than that before it
-	// hands out places, so that it knows of all of them.
-	restateInterval = 2 * time.Second
-	// idleAfter is how long a limit is kept without demand.
-	idleAfter = 2 * time.Second
-	// smoothing is the weight of the newest interval in the demand.
-	smoothing = 0.5
+	// refreshInterval is how often the keeper updates its demand estimates and
+	// renews slices that are due.
+	refreshInterval = 300 * time.Millisecond
+	// reportInterval is how often the requests in progress are reported to an
+	// owner even if nothing has changed. A new owner waits longer than this
+	// (takeoverDelay) before it grants concurrency, so it has received the
+	// in-use count of every host by then.
+	reportInterval = 2 * time.Second
+	// idleTimeout is how long the local state of an unused limit is kept.
+	idleTimeout = 2 * time.Second
+	// smoothingFactor is the weight of the newest interval in the exponential
+	// moving average of demand.
+	smoothingFactor = 0.5
 )
 
-// Ask asks the owner of some limits for slices. It returns one number for
-// each want, or false if no owner answered.
+// Ask requests slices from the owner of some limits. It returns one number for
+// each want, in order, or false if the owner did not respond or rejected the
+// call.
 type Ask func(ctx context.Context, owner membership.Host, holder Holder, wants []Want) ([]int, bool)
 
 // Keeper admits requests within the slices that this daemon holds. It is safe
 // for concurrent use.
 type Keeper struct {
-	clock   clockwork.Clock
-	view    *membership.View
-	ask     Ask
-	metrics *metric.Registry
+	clock         clockwork.Clock
+	view          *membership.View
+	acquireSlices Ask
+	metrics       *metric.Registry
 
-	mu    sync.Mutex
-	local map[Key]*local
-	// asking has the owners that a call is on its way to.
-	asking map[membership.HostID]bool
-	// ready are the hosts that ranked was worked out for.
-	ready  *membership.Snapshot
-	ranked [shards]membership.Host
-	// sequence numbers the calls.
+	mu     sync.Mutex
+	limits map[Key]*localLimit
+	// inFlight has the owners with a call in progress.
+	inFlight map[membership.HostID]bool
+	// readyHosts is the snapshot from which shardOwners was computed.
+	readyHosts  *membership.Snapshot
+	shardOwners [shardCount]membership.Host
+	// sequence is the number of the last call sent to any owner.
 	sequence uint64
 }
 
-// local is what this daemon holds of one limit.
-type local struct {
-	// slice is how many requests may be in progress, until ends.
-	slice int
-	ends  time.Time
-	inUse int
-	// peak is the largest inUse since the last review.
-	peak int
-	// lots are the slices of a rate, the oldest first. A lot that is not used
-	// in time is lost, so that none can be saved up.
-	lots []lot
-	// demand is the smoothed number of requests per reviewInterval.
+// localLimit is the state of one limit on this daemon.
+type localLimit struct {
+	// slice is how many requests may be in progress until expiresAt.
+	slice     int
+	expiresAt time.Time
+	inUse     int
+	// peakInUse is the largest recent inUse. Each refresh lowers it by one
+	// while it exceeds inUse, and to zero if nothing is in use.
+	peakInUse int
+	// rateSlices are the valid slices of a rate limit, oldest first. A slice
+	// not used before it expires is lost, so that unused admissions can't
+	// accumulate.
+	rateSlices []rateSlice
+	// demand is the smoothed number of requests per refreshInterval.
 	demand float64
-	// arrived counts requests since the last review.
-	arrived int
-	// announced counts requests that will need the limit next, once an
-	// earlier one has admitted them.
-	announced int
-	// told is what an owner knows of a concurrency.
-	told told
-	// used is when a request last came.
-	used    time.Time
-	waiting []*waiter
+	// arrivals counts requests since the last refresh.
+	arrivals int
+	// upcoming counts requests that will need this limit but are still being
+	// admitted by an earlier one. Admit takes the limits of a request one after
+	// another.
+	upcoming int
+	// lastReport is the last request sent to an owner. It is used for
+	// concurrency limits only.
+	lastReport report
+	// lastUsed is when the last request arrived.
+	lastUsed time.Time
+	waiters  []*waiter
 }
 
-// told is what an owner was last told.
-type told struct {
-	owner hostRun
-	want  Want
-	at    time.Time
+// report records a slice request sent to an owner.
+type report struct {
+	owner   hostIncarnation
+	request Want
+	sentAt  time.Time
 }
 
-// lot is a slice of a rate.
-type lot struct {
-	left int
-	ends time.Time
+// rateSlice is a slice of a rate limit.
+type rateSlice struct {
+	remaining int
+	expiresAt time.Time
 }
 
-// waiter is a request that waits for an answer from the owner.
+// waiter is a request that waits for the owner's response.
 type waiter struct {
-	// answer has room for the one answer.
-	answer chan verdict
-	// asked says that its demand is part of a call on its way.
-	asked bool
+	// result is buffered, so that the sender never blocks.
+	result chan decision
+	// requested reports whether the call in flight includes this request.
+	requested bool
 }
 
-// verdict is what became of a request that waited.
-type verdict int
+// decision is the result for a request that waited.
+type decision int
 
 const (
-	admitted verdict = iota + 1
+	admitted decision = iota + 1
 	refused
-	// unanswered says that no owner could be asked.
+	// unanswered means that there was no owner or that no response arrived.
 	unanswered
 )
 
-// NewKeeper returns a keeper without slices.
+// NewKeeper returns a keeper that holds no slices.
 func NewKeeper(clock clockwork.Clock, view *membership.View, ask Ask, metrics *metric.Registry) *Keeper {
 	return &Keeper{
-		clock:   clock,
-		view:    view,
-		ask:     ask,
-		metrics: metrics,
-		local:   map[Key]*local{},
-		asking:  map[membership.HostID]bool{},
+		clock:         clock,
+		view:          view,
+		acquireSlices: ask,
+		metrics:       metrics,
+		limits:        map[Key]*localLimit{},
+		inFlight:      map[membership.HostID]bool{},
 	}
 }
 
-// Admit takes a place in each limit that binds the request. The function that
-// it returns gives the places back. The error is a refusal: the owner was
-// asked and has none left, or no owner answered.
+// Admit acquires a permit from every limit that applies to the request. The
+// returned function releases the permits; calling it more than once has no
+// effect. The error is a refusal: the owner granted no permit, or no owner
+// responded.
 func (k *Keeper) Admit(ctx context.Context, cl *table.Class, account table.AccountName) (done func(), err error) {
 	keys := keysOf(cl, account)
-	k.announce(keys)
+	k.addUpcoming(keys)
 	taken := 0
-	giveBack := func() {
+	releaseTaken := func() {
 		for _, key := range keys[:taken] {
 			k.release(key)
 		}
 	}
 	for i, key := range keys {
-		if err := k.take(ctx, key); err != nil {
-			giveBack()
-			k.renounce(keys[i+1:])
+		if err := k.admitOne(ctx, key); err != nil {
+			releaseTaken()
+			k.removeUpcoming(keys[i+1:])
 			return nil, err
 		}
 		taken++
 	}
 	var once sync.Once
-	return func() { once.Do(giveBack) }, nil
+	return func() { once.Do(releaseTaken) }, nil
 }
 
-// announce notes that a request will need the limits, so that one call to an
-// owner asks for all that it owns of them.
-func (k *Keeper) announce(keys []Key) {
+// addUpcoming registers that a request will need the limits, so that one call
+// to an owner can cover all limits of the request that it owns.
+func (k *Keeper) addUpcoming(keys []Key) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.clock.Now()
 	for _, key := range keys {
-		l := k.local[key]
+		l := k.limits[key]
 		if l == nil {
-			l = &local{}
-			k.local[key] = l
+			l = &localLimit{}
+			k.limits[key] = l
 		}
-		l.announced++
-		l.arrived++
-		l.used = now
+		l.upcoming++
+		l.arrivals++
+		l.lastUsed = now
 	}
 }
 
-// renounce takes back what was announced and will not come.
-func (k *Keeper) renounce(keys []Key) {
+// removeUpcoming undoes addUpcoming for limits that the request will not reach.
+func (k *Keeper) removeUpcoming(keys []Key) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, key := range keys {
-		k.local[key].announced--
+		k.limits[key].upcoming--
 	}
 }
 
-// take admits one announced request by one limit.
-func (k *Keeper) take(ctx context.Context, key Key) error {
+// admitOne admits a request to one limit for which addUpcoming was called. If
+// the local slice is used up, it asks the owner and waits.
+func (k *Keeper) admitOne(ctx context.Context, key Key) error {
 	k.mu.Lock()
-	l := k.local[key]
-	l.announced--
+	l := k.limits[key]
+	l.upcoming--
 	if l.admit(key, k.clock.Now()) {
 		k.mu.Unlock()
 		return nil
 	}
-	w := &waiter{answer: make(chan verdict, 1)}
-	l.waiting = append(l.waiting, w)
+	w := &waiter{result: make(chan decision, 1)}
+	l.waiters = append(l.waiters, w)
 	k.mu.Unlock()
-	k.renew(ctx, key)
-	return k.await(ctx, key, l, w)
+	k.requestNow(ctx, key)
+	return k.waitForOwner(ctx, key, l, w)
 }
 
-// await waits for the owner's answer.
-func (k *Keeper) await(ctx context.Context, key Key, l *local, w *waiter) error {
+// waitForOwner waits until the owner's response resolves w or ctx ends.
+func (k *Keeper) waitForOwner(ctx context.Context, key Key, l *localLimit, w *waiter) error {
 	select {
-	case v := <-w.answer:
-		return v.refusal(key)
+	case v := <-w.result:
+		return v.toError(key)
 	case <-ctx.Done():
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	l.withdraw(w)
+	l.removeWaiter(w)
 	select {
-	case v := <-w.answer:
+	case v := <-w.result:
 		if v == admitted {
-			l.giveBack(key)
+			l.release(key)
 		}
 	default:
 	}
 	return outcome.NotRunError(outcome.ReasonCallerGone, "the caller is gone")
 }
 
-// retryAfter is when a refused caller may try again.
+// retryAfter is the delay after which a refused caller may try again.
 const retryAfter = time.Second
 
-// refusal returns the error for a verdict; nil if the request is admitted.
-func (v verdict) refusal(key Key) error {
+// toError returns the refusal for a decision, or nil if the request was
+// admitted.
+func (v decision) toError(key Key) error {
 	if v == admitted {
 		return nil
 	}
@@ -228,96 +239,100 @@
 	return r
 }
 
-// release gives a place back. Admissions by rate stay spent.
+// release returns a permit to a concurrency limit. Admissions by rate are not
+// refunded.
 func (k *Keeper) release(key Key) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if l := k.local[key]; l != nil {
-		l.giveBack(key)
+	if l := k.limits[key]; l != nil {
+		l.release(key)
 	}
 }
 
-// admit takes a place of the slice, if one is left.
-func (l *local) admit(key Key, now time.Time) bool {
+// admit takes a permit from the local slice if one is left.
+func (l *localLimit) admit(key Key, now time.Time) bool {
 	if key.Kind == Rate {
 		return l.admitRate(now)
 	}
-	if !now.Before(l.ends) || l.inUse >= l.slice {
+	if !now.Before(l.expiresAt) || l.inUse >= l.slice {
 		return false
 	}
 	l.inUse++
-	l.peak = max(l.peak, l.inUse)
+	l.peakInUse = max(l.peakInUse, l.inUse)
 	return true
 }
 
-func (l *local) admitRate(now time.Time) bool {
-	if l.inHand(now) == 0 {
+func (l *localLimit) admitRate(now time.Time) bool {
+	if l.rateRemaining(now) == 0 {
 		return false
 	}
-	l.lots[0].left--
+	l.rateSlices[0].remaining--
 	return true
 }
 
-// inHand returns how many requests the valid lots admit.
-func (l *local) inHand(now time.Time) int {
-	l.lots = slices.DeleteFunc(l.lots, func(x lot) bool { return x.left == 0 || !now.Before(x.ends) })
+// rateRemaining drops expired and used slices of a rate limit and returns how
+// many requests the others admit.
+func (l *localLimit) rateRemaining(now time.Time) int {
+	l.rateSlices = slices.DeleteFunc(l.rateSlices, func(x rateSlice) bool { return x.remaining == 0 || !now.Before(x.expiresAt) })
 	n := 0
-	for _, x := range l.lots {
-		n += x.left
+	for _, x := range l.rateSlices {
+		n += x.remaining
 	}
 	return n
 }
 
-func (l *local) giveBack(key Key) {
+func (l *localLimit) release(key Key) {
 	if key.Kind == Concurrency {
 		l.inUse--
 	}
 }
 
-func (l *local) withdraw(w *waiter) {
-	for i, other := range l.waiting {
+func (l *localLimit) removeWaiter(w *waiter) {
+	for i, other := range l.waiters {
 		if other == w {
-			l.waiting = append(l.waiting[:i], l.waiting[i+1:]...)
+			l.waiters = append(l.waiters[:i], l.waiters[i+1:]...)
 			return
 		}
 	}
 }
 
-// want returns what to ask the owner for: what waits and, of a rate, what is
-// likely to come before the next review.
-func (l *local) want(key Key, now time.Time) Want {
+// sliceRequest returns the request to send to the owner. For a rate limit it
+// covers the waiting requests and those expected before the next refresh.
+func (l *localLimit) sliceRequest(key Key, now time.Time) Want {
 	if key.Kind == Concurrency {
-		w := Want{Key: key, Wanted: max(l.inUse+len(l.waiting)+l.announced, l.peak), InUse: l.inUse}
-		if now.Before(l.ends) {
+		w := Want{Key: key, Wanted: max(l.inUse+len(l.waiters)+l.upcoming, l.peakInUse), InUse: l.inUse}
+		if now.Before(l.expiresAt) {
 			w.Holding = l.slice
 		}
 		return w
 	}
-	ahead := max(int(l.demand), l.announced)
-	return Want{Key: key, Wanted: max(len(l.waiting)+ahead-l.inHand(now), 0)}
+	expected := max(int(l.demand), l.upcoming)
+	return Want{Key: key, Wanted: max(len(l.waiters)+expected-l.rateRemaining(now), 0)}
 }
 
-// hasUnasked tells whether a request waits that no call was about.
-func (l *local) hasUnasked() bool {
-	return slices.ContainsFunc(l.waiting, func(w *waiter) bool { return !w.asked })
+// hasUnrequested reports whether a request waits that no call has included.
+func (l *localLimit) hasUnrequested() bool {
+	return slices.ContainsFunc(l.waiters, func(w *waiter) bool { return !w.requested })
 }
 
-// isDue tells whether the owner must be told of the limit: if a request waits
-// unasked for; of a rate, if more is likely to come than is in hand; of a
-// concurrency, if the owner is another, knows of more or fewer requests, or
-// was told long ago.
-func (l *local) isDue(key Key, now time.Time, owner hostRun) bool {
-	w := l.want(key, now)
-	if key.Kind == Rate || l.hasUnasked() {
+// isDue reports whether a slice must be requested from the owner. Any limit is
+// due when a request waits that no call has included. A rate limit is also due
+// when the expected demand exceeds what remains. A concurrency limit is also
+// due when the owner or its incarnation has changed, when the wanted number
+// differs from the last report, or when the last report is older than
+// reportInterval and requests are in progress.
+func (l *localLimit) isDue(key Key, now time.Time, owner hostIncarnation) bool {
+	w := l.sliceRequest(key, now)
+	if key.Kind == Rate || l.hasUnrequested() {
 		return w.Wanted > 0
 	}
-	if l.told.owner != owner {
+	if l.lastReport.owner != owner {
 		return w.Wanted > 0
 	}
-	return l.told.want.Wanted != w.Wanted || (w.InUse > 0 && now.Sub(l.told.at) >= restateInterval)
+	return l.lastReport.request.Wanted != w.Wanted || (w.InUse > 0 && now.Sub(l.lastReport.sentAt) >= reportInterval)
 }
 
-// isUnused tells whether no request has, awaits or will need a place.
-func (l *local) isUnused() bool {
-	return l.inUse == 0 && l.announced == 0 && len(l.waiting) == 0
+// isUnused reports whether no request holds, waits for or will need a permit.
+func (l *localLimit) isUnused() bool {
+	return l.inUse == 0 && l.upcoming == 0 && len(l.waiters) == 0
 }
--- a/internal/limit/key.go
+++ b/internal/limit/key.go
@@ -1,7 +1,7 @@
-// Package limit enforces limits of rate and concurrency that span all
-// daemons. One daemon at a time owns a limit and hands out expiring slices of
-// it; the others admit requests only within the slices that they hold. The
-// design is weighed in docs/design/limits.md.
+// Package limit enforces rate and concurrency limits across all daemons. Each
+// limit is owned by one daemon at a time, which grants short-lived slices of
+// it; every daemon admits requests only within the slices that it holds. See
+// docs/design/limits.md for the design.
 package limit
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// Kind tells what a limit counts.
+// Kind is what a limit counts.
 type Kind string
 
 // The kinds of limit.
@@ -21,7 +21,7 @@
 	Concurrency Kind = "concurrency"
 )
 
-// Key names one limit.
+// Key identifies one limit.
 type Key struct {
 	Kind  Kind
 	Class table.ClassName
@@ -29,12 +29,13 @@
 	Account table.AccountName
 }
 
-// String returns the form used between daemons, such as "rate/counter/studio".
+// String returns the form used in messages between daemons, such as
+// "rate/counter/studio".
 func (k Key) String() string {
 	return string(k.Kind) + "/" + string(k.Class) + "/" + string(k.Account)
 }
 
-// ParseKey reads the form used between daemons. Names in a table contain no
+// ParseKey parses the form returned by Key.String. Names in a table contain no
 // slash.
 func ParseKey(text string) (k Key, ok bool) {
 	parts := strings.Split(text, "/")
@@ -45,7 +46,7 @@
 	return k, k.Kind == Rate || k.Kind == Concurrency
 }
 
-// Value returns the limit that a table sets; zero is unlimited.
+// Value returns the limit set in a table; zero means unlimited.
 func (k Key) Value(t *table.Table) float64 {
 	cl, ok := t.Class(k.Class)
 	if !ok {
@@ -66,8 +67,9 @@
 	return float64(l.AccountConcurrency)
 }
 
-// keysOf returns the limits that bind a request, concurrency first: what is
-// taken of those can be given back if a later one refuses.
+// keysOf returns the limits that apply to a request. Concurrency limits come
+// first, because their permits can be returned if a later limit refuses the
+// request, while admissions by rate can't be refunded.
 func keysOf(cl *table.Class, account table.AccountName) []Key {
 	all := [...]Key{
 		{Kind: Concurrency, Class: cl.Name, Account: account},
--- a/internal/limit/owner.go
+++ b/internal/limit/owner.go
@@ -12,101 +12,107 @@
 )
 
 const (
-	// burst is how many seconds' worth of a rate may be admitted at once.
-	burst = 1.0
-	// forgetAfter is how long an owner keeps a limit that nobody asks for.
-	forgetAfter = time.Minute
+	// burstSeconds is the capacity of a rate's token bucket, in seconds of
+	// refill.
+	burstSeconds = 1.0
+	// bucketIdleTimeout is how long an owner keeps the bucket of a rate limit
+	// that no host requests.
+	bucketIdleTimeout = time.Minute
 )
 
-// Want asks for a slice of one limit.
+// Want is a request for a slice of one limit.
 type Want struct {
 	Key Key
-	// Wanted is how many requests the holder would like to admit: new ones
-	// for a rate, all in progress for a concurrency.
+	// Wanted is how many requests the holder wants to admit: new requests for a
+	// rate limit, all requests in progress for a concurrency limit.
 	Wanted int
-	// InUse counts the holder's requests in progress.
+	// InUse is the number of requests that the holder has in progress.
 	InUse int
-	// Holding is the valid slice of a concurrency that it has. Until it has
-	// the answer, it may admit up to that.
+	// Holding is the slice of a concurrency limit that the holder has now. It
+	// may admit up to that many requests until it receives the response.
 	Holding int
 }
 
-// Holder is an incarnation of a daemon that asks for slices.
+// Holder identifies a call for slices by one incarnation of a daemon.
 type Holder struct {
 	Host        membership.HostID
 	Incarnation uint64
-	// Sequence grows with each call of the incarnation to one owner.
+	// Sequence increases with every call of the incarnation.
 	Sequence uint64
 }
 
-// Owner hands out slices of limits. It is safe for concurrent use.
+// Owner grants slices of the limits that this daemon owns. It is safe for
+// concurrent use.
 type Owner struct {
 	clock clockwork.Clock
 	self  membership.HostID
 
-	mu     sync.Mutex
-	table  *table.Table
-	quorum quorum
-	tenure tenure
-	rates  map[Key]*bucket
-	pools  map[Key]*pool
-	// newest has the newest call of each host.
-	newest map[membership.HostID]Holder
+	mu          sync.Mutex
+	table       *table.Table
+	quorum      quorum
+	ownership   ownership
+	buckets     map[Key]*bucket
+	allocations map[Key]*allocation
+	// latestCalls has the latest call of each host.
+	latestCalls map[membership.HostID]Holder
 }
 
-// NewOwner returns an owner that hands out nothing until it has heard hosts
-// for a while.
+// NewOwner returns an owner that grants nothing until hosts have been alive for
+// settleTime.
 func NewOwner(clock clockwork.Clock, self membership.HostID) *Owner {
-	return &Owner{clock: clock, self: self, rates: map[Key]*bucket{}, pools: map[Key]*pool{}, newest: map[membership.HostID]Holder{}}
+	return &Owner{clock: clock, self: self, buckets: map[Key]*bucket{}, allocations: map[Key]*allocation{}, latestCalls: map[membership.HostID]Holder{}}
 }
 
-// Configure puts a table in force.
+// Configure sets the table that limits are read from.
 func (o *Owner) Configure(t *table.Table) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.table = t
 }
 
-// Update takes in the hosts that are heard now, this one included, and how
-// many daemons the platform lists. It must be called several times a second.
+// Update sets the hosts that are alive now, including this one, and the number
+// of daemons that the platform lists. It must be called several times per
+// second: after a gap longer than pauseThreshold the owner grants nothing until
+// the hosts have settled again.
 func (o *Owner) Update(hosts *membership.Snapshot, listed int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.clock.Now()
 	if o.quorum.update(now, hosts, listed) {
-		o.tenure.update(now, o.self, readyOf(hosts))
+		o.ownership.update(now, o.self, readyHosts(hosts))
 	}
-	for id := range o.newest {
-		if !o.quorum.hears(id) {
-			delete(o.newest, id)
+	for id := range o.latestCalls {
+		if !o.quorum.isAlive(id) {
+			delete(o.latestCalls, id)
 		}
 	}
-	for k, b := range o.rates {
-		if now.Sub(b.asked) > forgetAfter {
-			delete(o.rates, k)
+	for k, b := range o.buckets {
+		if now.Sub(b.requestedAt) > bucketIdleTimeout {
+			delete(o.buckets, k)
 		}
 	}
-	for k, p := range o.pools {
-		if p.forget(now, o.quorum.hears) {
-			delete(o.pools, k)
+	for k, p := range o.allocations {
+		if p.removeExpired(now, o.quorum.isAlive) {
+			delete(o.allocations, k)
 		}
 	}
 }
 
-// Grant answers a holder's wants, in order. The slices are valid for
-// SliceLifetime. The result is false if this daemon, as it sees the hosts,
-// does not own one of the limits, or if the call was overtaken by a later one:
-// it then tells of an earlier state.
+// Grant handles the wants of a holder and returns what it grants, in the same
+// order. The slices are valid for SliceLifetime. The result is false if this
+// daemon, according to its view of the hosts, does not own one of the limits,
+// or if a later call of the holder has already been processed: the wants are
+// then out of date.
 func (o *Owner) Grant(holder Holder, wants []Want) (granted []int, ok bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if !o.isNewest(holder) {
+	if !o.recordCall(holder) {
 		return nil, false
 	}
 	now := o.clock.Now()
-	share := o.quorum.share(now)
+	share := o.quorum.grantableShare(now)
 	for _, w := range wants {
-		since, owned := o.tenure.since(w.Key)
+		since, owned := o.ownership.since(w.Key)
 		if !owned {
 			return nil, false
 		}
@@ -115,19 +121,20 @@
 	return granted, true
 }
 
-// isNewest notes a call, unless it was overtaken. A new incarnation holds
-// nothing of what the one before it held.
-func (o *Owner) isNewest(h Holder) bool {
-	last, known := o.newest[h.Host]
+// recordCall records a call and reports whether it is newer than the last one
+// of the same incarnation. A new incarnation of a host holds none of the slices
+// granted to the previous one, so those are deleted.
+func (o *Owner) recordCall(h Holder) bool {
+	last, known := o.latestCalls[h.Host]
 	if known && last.Incarnation == h.Incarnation && h.Sequence <= last.Sequence {
 		return false
 	}
 	if known && last.Incarnation != h.Incarnation {
-		for _, p := range o.pools {
+		for _, p := range o.allocations {
 			delete(p.slices, h.Host)
 		}
 	}
-	o.newest[h.Host] = h
+	o.latestCalls[h.Host] = h
 	return true
 }
 
@@ -139,72 +146,74 @@
 	if w.Key.Kind == Rate {
 		return o.bucket(w.Key, now, limit, since).take(now, limit, w.Wanted)
 	}
-	p := o.pools[w.Key]
+	p := o.allocations[w.Key]
 	if p == nil {
-		p = &pool{slices: map[membership.HostID]slice{}}
-		o.pools[w.Key] = p
+		p = &allocation{slices: map[membership.HostID]slice{}}
+		o.allocations[w.Key] = p
 	}
-	// Slices of an earlier owner may still be valid, and requests may be in
-	// progress that this one has not heard of yet.
-	if now.Sub(since) < takeoverTime {
+	// Slices granted by a previous owner may still be valid, and there may be
+	// requests in progress that have not been reported to this owner yet.
+	if now.Sub(since) < takeoverDelay {
 		limit = 0
 	}
 	return p.grant(now, host, int(limit), w)
 }
 
-// bucket returns the bucket of a rate. A new one holds only what came in
-// since no earlier owner can have handed out any more.
+// bucket returns the token bucket of a rate limit. A new bucket contains only
+// the tokens accumulated after takeoverDelay, when no previous owner can have
+// granted them.
 func (o *Owner) bucket(k Key, now time.Time, rate float64, since time.Time) *bucket {
-	b := o.rates[k]
+	b := o.buckets[k]
 	if b == nil {
-		alone := max(now.Sub(since)-takeoverTime, 0)
-		b = &bucket{filled: now, tokens: min(rate*alone.Seconds(), max(rate*burst, 1))}
-		o.rates[k] = b
+		accumulating := max(now.Sub(since)-takeoverDelay, 0)
+		b = &bucket{refilledAt: now, tokens: min(rate*accumulating.Seconds(), max(rate*burstSeconds, 1))}
+		o.buckets[k] = b
 	}
 	return b
 }
 
-// bucket holds what may still be admitted of a rate.
+// bucket is the token bucket of a rate limit.
 type bucket struct {
-	tokens float64
-	filled time.Time
-	asked  time.Time
+	tokens      float64
+	refilledAt  time.Time
+	requestedAt time.Time
 }
 
-// take hands out up to wanted admissions.
+// take refills the bucket and removes up to wanted tokens.
 func (b *bucket) take(now time.Time, rate float64, wanted int) int {
-	b.asked = now
-	b.tokens += rate * now.Sub(b.filled).Seconds()
-	b.tokens = min(b.tokens, max(rate*burst, 1))
-	b.filled = now
+	b.requestedAt = now
+	b.tokens += rate * now.Sub(b.refilledAt).Seconds()
+	b.tokens = min(b.tokens, max(rate*burstSeconds, 1))
+	b.refilledAt = now
 	n := min(wanted, int(math.Floor(b.tokens)))
 	b.tokens -= float64(n)
 	return n
 }
 
-// pool is what each host holds of a limit of concurrency.
-type pool struct {
+// allocation is the division of a concurrency limit among the hosts.
+type allocation struct {
 	slices map[membership.HostID]slice
 }
 
-// slice is a host's part of a limit of concurrency.
+// slice is one host's part of a concurrency limit.
 type slice struct {
 	amount int
-	// floor is what the host may use whatever the amount: what it reported
-	// in use, and the slice it had, of which it may use more until it has the
-	// answer.
-	floor  int
-	wanted int
-	ends   time.Time
+	// floor is the number of requests the host may have in progress even if
+	// amount is smaller: the requests it reported in use, or the slice it held,
+	// which it may still use up until it receives the response.
+	floor     int
+	wanted    int
+	expiresAt time.Time
 }
 
 // held returns how many requests the host may have in progress.
 func (s slice) held() int { return max(s.amount, s.floor) }
 
-// grant renews a host's slice. What the hosts hold never sums to more than
-// the limit unless it did so before: requests in progress can't be taken back,
-// so a smaller slice only keeps its holder from admitting more.
-func (p *pool) grant(now time.Time, host membership.HostID, limit int, w Want) int {
+// grant renews a host's slice. It does not raise the sum of what the hosts hold
+// above the limit. The sum may already be above it, for example after the limit
+// was lowered: requests in progress can't be taken back, so a smaller slice
+// only keeps its holder from admitting more.
+func (p *allocation) grant(now time.Time, host membership.HostID, limit int, w Want) int {
 	others := 0
 	wanted := map[membership.HostID]int{host: w.Wanted}
 	for id, s := range p.slices {
@@ -215,48 +224,50 @@
 	}
 	amount := max(min(w.Wanted, fairShare(limit, wanted, host), limit-others), 0)
 	p.slices[host] = slice{
-		amount: amount,
-		floor:  max(w.InUse, w.Holding),
-		wanted: w.Wanted,
-		ends:   now.Add(SliceLifetime),
+		amount:    amount,
+		floor:     max(w.InUse, w.Holding),
+		wanted:    w.Wanted,
+		expiresAt: now.Add(SliceLifetime),
 	}
 	return amount
 }
 
-// forget drops the slices of hosts that neither ask any more nor are heard.
-// A host that is heard keeps its part even when its slice has ended, because
-// its requests may still be in progress.
-func (p *pool) forget(now time.Time, heard func(membership.HostID) bool) (empty bool) {
+// removeExpired deletes slices that have expired and belong to hosts that are
+// not alive or hold nothing, and reports whether none are left. A live host
+// with an expired slice keeps its part, because its requests may still be in
+// progress.
+func (p *allocation) removeExpired(now time.Time, isAlive func(membership.HostID) bool) (empty bool) {
 	for id, s := range p.slices {
-		idle := s.held() == 0 || !heard(id)
-		if now.After(s.ends) && idle {
+		removable := s.held() == 0 || !isAlive(id)
+		if now.After(s.expiresAt) && removable {
 			delete(p.slices, id)
 		}
 	}
 	return len(p.slices) == 0
 }
 
-// fairShare divides a limit by max-min fairness: who wants less than an equal
-// share gets all of it, and the others divide the rest.
+// fairShare returns the max-min fair share of a host, rounded up: hosts that
+// want no more than an equal share get all they want, and the others divide the
+// rest equally.
 func fairShare(limit int, wanted map[membership.HostID]int, host membership.HostID) int {
-	rest, hosts := limit, len(wanted)
+	remaining, hosts := limit, len(wanted)
 	for {
-		level := rest / hosts
+		equalShare := remaining / hosts
 		satisfied := 0
 		for id, n := range wanted {
-			if n > level {
+			if n > equalShare {
 				continue
 			}
 			if id == host {
 				return n
 			}
-			rest -= n
+			remaining -= n
 			hosts--
 			satisfied++
 			delete(wanted, id)
 		}
 		if satisfied == 0 {
-			return (rest + hosts - 1) / hosts
+			return (remaining + hosts - 1) / hosts
 		}
 	}
 }
--- a/internal/limit/quorum.go
+++ b/internal/limit/quorum.go
@@ -7,94 +7,99 @@
 )
 
 const (
-	// SliceLifetime is how long a slice is valid, counted by its holder from
-	// before it asked and by the owner from when it answered. The holder's
-	// therefore ends first.
+	// SliceLifetime is how long a slice is valid. Its holder counts from before
+	// it sent the request, the owner from when it responded, so the slice
+	// expires at the holder first.
 	SliceLifetime = time.Second
-	// settleTime is how long a host must be heard without a break before it
-	// counts. It exceeds the lifetime of a slice and the time in which daemons
-	// learn of each other, so that no slice of another owner is still valid.
+	// settleTime is how long a host must be alive without interruption before
+	// it counts. It exceeds the lifetime of a slice plus the time in which
+	// daemons learn of each other, so no slice granted by another owner is
+	// still valid.
 	settleTime = 3 * time.Second
-	// takeoverTime is how long a daemon must have owned a limit before it
-	// hands out more than what is in use: after an owner's end its slices are
-	// valid for SliceLifetime at most, and all have told of their requests in
-	// progress within restateInterval.
-	takeoverTime = 2500 * time.Millisecond
-	// pauseTime is the gap between two updates that shows that this daemon
-	// was paused.
-	pauseTime = time.Second
+	// takeoverDelay is how long a daemon must have owned a limit before it
+	// grants more than what is in use. After an owner fails, its slices are
+	// valid for at most SliceLifetime, and every host has reported its requests
+	// in progress within reportInterval.
+	takeoverDelay = 2500 * time.Millisecond
+	// pauseThreshold is the gap between two updates from which on this daemon
+	// counts as having been paused.
+	pauseThreshold = time.Second
 )
 
-// quorum tells which part of every limit this daemon may hand out.
+// quorum determines which share of every limit this daemon may grant.
 //
-// Failure: after a split two daemons each believe that they own a limit, and
-// would together admit twice as much. The guard: an owner hands out only the
-// part of the limit that falls to the hosts that it has heard without a break
-// for settleTime, out of all hosts that the platform lists. Two owners that
-// don't hear each other have disjoint sets of hosts, so their parts never sum
-// to more than the limit.
+// After a network split, two daemons can both consider themselves the owner of
+// a limit and together admit twice as much. Therefore an owner grants only a
+// share of the limit: the number of hosts that it has seen alive without
+// interruption for settleTime, divided by the number of hosts that the platform
+// lists. Two owners that can't reach each other count disjoint sets of hosts,
+// so their shares never add up to more than the limit.
 type quorum struct {
-	// since is from when on each incarnation was heard without a break.
-	since   map[hostRun]time.Time
-	updated time.Time
-	// newest is the latest time in since.
-	newest time.Time
-	// hosts are those of the last update.
+	// aliveSince is when each incarnation was first seen alive, without
+	// interruption since.
+	aliveSince map[hostIncarnation]time.Time
+	updatedAt  time.Time
+	// newestSince is the latest time in aliveSince.
+	newestSince time.Time
+	// hosts is the snapshot passed to the last update.
 	hosts *membership.Snapshot
-	// listed is the number of daemons that the platform lists.
-	listed int
+	// listedHosts is the number of daemons that the platform lists, or the
+	// number of live hosts if that is larger.
+	listedHosts int
 }
 
-// hostRun is an incarnation of a host.
-type hostRun struct {
+// hostIncarnation identifies one incarnation of a host.
+type hostIncarnation struct {
 	id          membership.HostID
 	incarnation uint64
 }
 
-// update takes in the hosts that are heard now, this one included. It returns
-// whether they are others than before, or stand in other states.
+// update sets the hosts that are alive now, including this one. It reports
+// whether the snapshot has changed or this daemon was paused.
 func (q *quorum) update(now time.Time, hosts *membership.Snapshot, listed int) (changed bool) {
-	// A daemon that was paused does not know what happened in the meantime;
-	// it begins to listen anew.
-	paused := now.Sub(q.updated) > pauseTime
+	// A daemon that was paused does not know what happened in the meantime, so
+	// no host counts as settled any more.
+	paused := now.Sub(q.updatedAt) > pauseThreshold
 	if paused {
-		q.since = nil
+		q.aliveSince = nil
 	}
-	q.updated = now
-	q.listed = max(listed, hosts.Len())
+	q.updatedAt = now
+	q.listedHosts = max(listed, hosts.Len())
 	if !paused && hosts == q.hosts {
 		return false
 	}
 	q.hosts = hosts
-	since := make(map[hostRun]time.Time, hosts.Len())
+	since := make(map[hostIncarnation]time.Time, hosts.Len())
 	for _, h := range hosts.All() {
-		run := hostRun{id: h.ID, incarnation: h.Incarnation}
-		at, known := q.since[run]
+		incarnation := hostIncarnation{id: h.ID, incarnation: h.Incarnation}
+		at, known := q.aliveSince[incarnation]
 		if !known {
 			at = now
-			q.newest = now
+			q.newestSince = now
 		}
-		since[run] = at
+		since[incarnation] = at
 	}
-	q.since = since
+	q.aliveSince = since
 	return true
 }
 
-// share returns the part of every limit that may be handed out, 0 to 1.
-func (q *quorum) share(now time.Time) float64 {
-	if q.listed == 0 || now.Sub(q.updated) > pauseTime {
+// grantableShare returns the share of every limit that may be granted, from 0
+// to 1.
+func (q *quorum) grantableShare(now time.Time) float64 {
+	if q.listedHosts == 0 || now.Sub(q.updatedAt) > pauseThreshold {
 		return 0
 	}
-	return float64(q.settled(now)) / float64(q.listed)
+	return float64(q.settledHosts(now)) / float64(q.listedHosts)
 }
 
-// settled returns how many hosts were heard without a break for settleTime.
-func (q *quorum) settled(now time.Time) int {
-	if now.Sub(q.newest) >= settleTime {
-		return len(q.since)
+// settledHosts returns how many hosts have been alive without interruption for
+// settleTime.
+func (q *quorum) settledHosts(now time.Time) int {
+	if now.Sub(q.newestSince) >= settleTime {
+		return len(q.aliveSince)
 	}
 	n := 0
-	for _, at := range q.since {
+	for _, at := range q.aliveSince {
 		if now.Sub(at) >= settleTime {
 			n++
 		}
@@ -102,8 +107,8 @@
 	return n
 }
 
-// hears tells whether a host is heard.
-func (q *quorum) hears(id membership.HostID) bool {
+// isAlive reports whether a host is in the latest snapshot.
+func (q *quorum) isAlive(id membership.HostID) bool {
 	if q.hosts == nil {
 		return false
 	}
--- a/internal/limit/renew.go
+++ b/internal/limit/renew.go
@@ -7,32 +7,33 @@
 	"github.com/beechhead/beechhead/internal/membership"
 )
 
-// askTimeout bounds one call to an owner.
-const askTimeout = 500 * time.Millisecond
+// acquireTimeout is the timeout of one call to an owner.
+const acquireTimeout = 500 * time.Millisecond
 
-// owners returns the owner of each shard, as this daemon sees the hosts.
-func (k *Keeper) owners() [shards]membership.Host {
+// owners returns the owner of each shard according to this daemon's view of the
+// hosts.
+func (k *Keeper) owners() [shardCount]membership.Host {
 	hosts := k.view.Ready()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if hosts == k.ready {
-		return k.ranked
+	if hosts == k.readyHosts {
+		return k.shardOwners
 	}
-	k.ready = hosts
-	for s := range shard(shards) {
-		k.ranked[s], _ = s.owner(hosts.All())
+	k.readyHosts = hosts
+	for s := range shard(shardCount) {
+		k.shardOwners[s], _ = s.owner(hosts.All())
 	}
-	return k.ranked
+	return k.shardOwners
 }
 
-// runOf returns the incarnation of a host.
-func runOf(h membership.Host) hostRun {
-	return hostRun{id: h.ID, incarnation: h.Incarnation}
+// incarnationOf returns the incarnation of a host.
+func incarnationOf(h membership.Host) hostIncarnation {
+	return hostIncarnation{id: h.ID, incarnation: h.Incarnation}
 }
 
-// Run tells owners what changes until ctx ends.
+// Run refreshes slices at regular intervals until ctx ends.
 func (k *Keeper) Run(ctx context.Context) {
-	ticker := k.clock.NewTicker(reviewInterval)
+	ticker := k.clock.NewTicker(refreshInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -44,82 +45,85 @@
 	}
 }
 
-// Review tells the owners once what has changed, and forgets idle limits.
+// Review updates the demand estimates, requests the slices that are due, and
+// deletes idle limits.
 func (k *Keeper) Review(ctx context.Context) {
-	ranked := k.owners()
-	owners := map[membership.HostID]membership.Host{}
+	shardOwners := k.owners()
+	dueOwners := map[membership.HostID]membership.Host{}
 	k.mu.Lock()
 	now := k.clock.Now()
-	for key, l := range k.local {
-		l.demand += smoothing * (float64(l.arrived) - l.demand)
-		l.arrived = 0
-		l.peak = max(l.inUse, l.peak-1)
+	for key, l := range k.limits {
+		l.demand += smoothingFactor * (float64(l.arrivals) - l.demand)
+		l.arrivals = 0
+		l.peakInUse = max(l.inUse, l.peakInUse-1)
 		if l.inUse == 0 {
-			l.peak = 0
+			l.peakInUse = 0
 		}
-		h := ranked[shardOf(key)]
-		due := l.isDue(key, now, runOf(h))
-		idle := now.Sub(l.used) > idleAfter
+		h := shardOwners[shardOf(key)]
+		due := l.isDue(key, now, incarnationOf(h))
+		idle := now.Sub(l.lastUsed) > idleTimeout
 		if idle && l.isUnused() && !due {
-			delete(k.local, key)
+			delete(k.limits, key)
 			continue
 		}
 		if due && h.ID != "" {
-			owners[h.ID] = h
+			dueOwners[h.ID] = h
 		}
 	}
 	k.mu.Unlock()
-	for _, h := range owners {
-		go k.askOwner(ctx, h)
+	for _, h := range dueOwners {
+		go k.callOwner(ctx, h)
 	}
 }
 
-// renew asks the owner of one limit at once.
-func (k *Keeper) renew(ctx context.Context, key Key) {
+// requestNow requests slices from the owner of a limit immediately.
+func (k *Keeper) requestNow(ctx context.Context, key Key) {
 	h := k.owners()[shardOf(key)]
 	if h.ID == "" {
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		k.metrics.Inc("limit.noOwner")
-		k.local[key].answerAll(key, k.clock.Now(), unanswered, true)
+		k.limits[key].resolveWaiters(key, k.clock.Now(), unanswered, true)
 		return
 	}
-	// The call serves other requests too, so it does not end with this one.
-	go k.askOwner(context.WithoutCancel(ctx), h)
+	// The call covers other requests as well, so it must not end with this one.
+	go k.callOwner(context.WithoutCancel(ctx), h)
 }
 
-// askOwner asks one owner for slices of all its limits. While a call is on
-// its way no other is sent; whoever came too late for it is asked for next.
-func (k *Keeper) askOwner(ctx context.Context, h membership.Host) {
+// callOwner requests slices of all limits that a host owns. Only one call to an
+// owner is in flight at a time; requests that arrive during a call are included
+// in the next one.
+func (k *Keeper) callOwner(ctx context.Context, h membership.Host) {
 	k.mu.Lock()
-	if k.asking[h.ID] {
+	if k.inFlight[h.ID] {
 		k.mu.Unlock()
 		return
 	}
-	k.asking[h.ID] = true
+	k.inFlight[h.ID] = true
 	k.mu.Unlock()
-	for k.askOnce(ctx, h) {
+	for k.callOwnerOnce(ctx, h) {
 	}
 }
 
-// askOnce sends one call. It returns whether requests came too late for it;
-// if not, the owner may be asked by others again. They may have come to limits
-// that the call was not about, so that all of the owner's are looked at.
-func (k *Keeper) askOnce(ctx context.Context, h membership.Host) (again bool) {
-	ranked := k.owners()
+// callOwnerOnce makes one call and returns whether another must follow because
+// requests arrived too late for this one. If not, it clears the owner's entry
+// in inFlight. The late requests may need limits that the call did not include,
+// so all limits of the owner are checked.
+func (k *Keeper) callOwnerOnce(ctx context.Context, h membership.Host) (again bool) {
+	shardOwners := k.owners()
 	k.mu.Lock()
 	sent := k.clock.Now()
-	wants := k.wantsOf(h, &ranked, sent)
+	wants := k.sliceRequests(h, &shardOwners, sent)
 	k.sequence++
 	self := k.view.Self()
 	holder := Holder{Host: self.ID, Incarnation: self.Incarnation, Sequence: k.sequence}
 	k.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, acquireTimeout)
 	defer cancel()
 	var granted []int
 	answered := true
 	if len(wants) > 0 {
-		granted, answered = k.ask(ctx, h, holder, wants)
+		granted, answered = k.acquireSlices(ctx, h, holder, wants)
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -131,86 +135,89 @@
 		if answered && i < len(granted) {
 			n = granted[i]
 		}
-		k.accept(w.Key, sent, n, answered)
+		k.handleResponse(w.Key, sent, n, answered)
 	}
-	k.asking[h.ID] = k.anyUnasked(h.ID, &ranked)
-	return k.asking[h.ID]
+	k.inFlight[h.ID] = k.hasUnrequested(h.ID, &shardOwners)
+	return k.inFlight[h.ID]
 }
 
-// anyUnasked tells whether requests wait that no call to their owner was about.
-func (k *Keeper) anyUnasked(id membership.HostID, ranked *[shards]membership.Host) bool {
-	for key, l := range k.local {
-		if ranked[shardOf(key)].ID == id && l.hasUnasked() {
+// hasUnrequested reports whether requests wait for limits of an owner that no
+// call has included.
+func (k *Keeper) hasUnrequested(id membership.HostID, shardOwners *[shardCount]membership.Host) bool {
+	for key, l := range k.limits {
+		if shardOwners[shardOf(key)].ID == id && l.hasUnrequested() {
 			return true
 		}
 	}
 	return false
 }
 
-// wantsOf returns the wants of the limits with that owner that wait or are due,
-// and marks those who wait as asked for.
-func (k *Keeper) wantsOf(h membership.Host, ranked *[shards]membership.Host, now time.Time) []Want {
+// sliceRequests returns the wants for the owner's limits that are due or have
+// waiting requests, and marks those requests as requested.
+func (k *Keeper) sliceRequests(h membership.Host, shardOwners *[shardCount]membership.Host, now time.Time) []Want {
 	var wants []Want
-	for key, l := range k.local {
-		if ranked[shardOf(key)].ID != h.ID {
+	for key, l := range k.limits {
+		if shardOwners[shardOf(key)].ID != h.ID {
 			continue
 		}
-		if len(l.waiting) == 0 && !l.isDue(key, now, runOf(h)) {
+		if len(l.waiters) == 0 && !l.isDue(key, now, incarnationOf(h)) {
 			continue
 		}
-		for _, w := range l.waiting {
-			w.asked = true
+		for _, w := range l.waiters {
+			w.requested = true
 		}
-		want := l.want(key, now)
-		l.told = told{owner: runOf(h), want: want, at: now}
+		want := l.sliceRequest(key, now)
+		l.lastReport = report{owner: incarnationOf(h), request: want, sentAt: now}
 		wants = append(wants, want)
 	}
 	return wants
 }
 
-// accept takes in the owner's answer for one limit.
-func (k *Keeper) accept(key Key, sent time.Time, granted int, answered bool) {
-	l := k.local[key]
+// handleResponse applies the owner's response for one limit.
+func (k *Keeper) handleResponse(key Key, sent time.Time, granted int, answered bool) {
+	l := k.limits[key]
 	if l == nil {
 		return
 	}
 	now := k.clock.Now()
 	if !answered {
-		// The owner may not know: it is told again at the next review.
-		l.told = told{}
-		l.answerAll(key, now, unanswered, false)
+		// The call may not have reached the owner, so the limit is reported
+		// again at the next refresh.
+		l.lastReport = report{}
+		l.resolveWaiters(key, now, unanswered, false)
 		return
 	}
-	l.take(key, sent, granted)
-	l.answerAll(key, now, refused, false)
+	l.applySlice(key, sent, granted)
+	l.resolveWaiters(key, now, refused, false)
 }
 
-// take puts a slice in force, counted from before it was asked for.
-func (l *local) take(key Key, sent time.Time, granted int) {
+// applySlice sets the granted slice. It expires SliceLifetime after the call
+// was sent, not after the response arrived.
+func (l *localLimit) applySlice(key Key, sent time.Time, granted int) {
 	ends := sent.Add(SliceLifetime)
 	if key.Kind == Concurrency {
-		l.slice, l.ends = granted, ends
+		l.slice, l.expiresAt = granted, ends
 		return
 	}
 	if granted > 0 {
-		l.lots = append(l.lots, lot{left: granted, ends: ends})
+		l.rateSlices = append(l.rateSlices, rateSlice{remaining: granted, expiresAt: ends})
 	}
 }
 
-// answerAll admits those who wait as far as the slice goes and gives the rest
-// of those who were asked for the other verdict, at once. Those who came later
-// go on waiting, unless all is set.
-func (l *local) answerAll(key Key, now time.Time, other verdict, all bool) {
+// resolveWaiters admits waiting requests as far as the slice allows and gives
+// the fallback decision to the others that were requested. Requests that
+// arrived after the call was sent keep waiting, unless all is set.
+func (l *localLimit) resolveWaiters(key Key, now time.Time, fallback decision, all bool) {
 	var later []*waiter
-	for _, w := range l.waiting {
+	for _, w := range l.waiters {
 		switch {
 		case l.admit(key, now):
-			w.answer <- admitted
-		case w.asked || all:
-			w.answer <- other
+			w.result <- admitted
+		case w.requested || all:
+			w.result <- fallback
 		default:
 			later = append(later, w)
 		}
 	}
-	l.waiting = later
+	l.waiters = later
 }
--- a/internal/limit/scenario_test.go
+++ b/internal/limit/scenario_test.go
@@ -19,7 +19,7 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// scenario is a run of several daemons in fake time.
+// scenario describes a run of several daemons in fake time.
 type scenario struct {
 	Name        string  `json:"name"`
 	Hosts       int     `json:"hosts"`
@@ -30,12 +30,13 @@
 	// Demand is in requests per second, by host.
 	Demand []float64 `json:"demand"`
 	HoldMs int       `json:"holdMs"`
-	// LossPercent of the owners' answers get lost.
+	// LossPercent is the percentage of the owners' responses that are lost.
 	LossPercent int     `json:"lossPercent"`
 	Events      []event `json:"events"`
-	// Accounts is how many accounts take turns at each host; zero is one.
+	// Accounts is the number of accounts per host, used in rotation. Zero means
+	// one account that all hosts share.
 	Accounts int `json:"accounts"`
-	// MinUse is the least share of the limit that must be used.
+	// MinUse is the smallest acceptable utilization of the limit.
 	MinUse float64 `json:"minUse"`
 }
 
@@ -45,25 +46,25 @@
 	Hosts []int  `json:"hosts"`
 }
 
-// fleet is the daemons of a scenario with the network between them.
-type fleet struct {
+// cluster is the daemons of a scenario and the network between them.
+type cluster struct {
 	t     *testing.T
 	sc    scenario
 	table *table.Table
 	clock clockwork.Clock
 	nodes []*node
 
-	begin time.Time
+	startedAt time.Time
 
 	mu sync.Mutex
-	// part is the part of the network that a host is in.
-	part     []int
-	rng      *rand.Rand
-	inUse    int
-	peak     int
-	admitted []time.Time
-	// asks counts the calls between daemons.
-	asks int
+	// partition is the network partition of each host.
+	partition []int
+	rng       *rand.Rand
+	inUse     int
+	peak      int
+	admitted  []time.Time
+	// ownerCalls counts calls between different daemons.
+	ownerCalls int
 }
 
 type node struct {
@@ -72,52 +73,53 @@
 	keeper *Keeper
 	owner  *Owner
 	stop   context.CancelFunc
-	// down nodes neither send nor receive; paused ones keep their state.
+	// A node that is down is stopped; a paused one keeps its state. Neither
+	// sends or receives.
 	down, paused bool
 }
 
 const (
 	testClass = "counter"
-	// warmup is how long hosts hear each other before the first caller comes.
+	// warmup is how long the hosts run before the first request.
 	warmup = 5 * time.Second
 )
 
-func (f *fleet) start(i int, incarnation uint64) {
+func (f *cluster) start(i int, incarnation uint64) {
 	ctx, cancel := context.WithCancel(f.t.Context())
 	self := membership.Host{ID: membership.HostID(fmt.Sprintf("h%d", i)), Incarnation: incarnation, State: membership.Ready}
 	n := &node{number: i, view: membership.NewView(f.clock, self), stop: cancel}
 	n.owner = NewOwner(f.clock, self.ID)
 	n.owner.Configure(f.table)
 	n.keeper = NewKeeper(f.clock, n.view, func(ctx context.Context, h membership.Host, holder Holder, wants []Want) ([]int, bool) {
-		return f.ask(ctx, n, h, holder, wants)
+		return f.callOwner(ctx, n, h, holder, wants)
 	}, metric.NewRegistry())
 	f.mu.Lock()
 	f.nodes[i] = n
 	f.mu.Unlock()
 	go n.keeper.Run(ctx)
 	go f.gossip(ctx, n)
-	go f.callers(ctx, n)
+	go f.generateLoad(ctx, n)
 }
 
-// reaches tells whether messages pass between two nodes.
-func (f *fleet) reaches(a, b *node) bool {
-	return b != nil && !a.down && !b.down && !a.paused && !b.paused && f.part[a.number] == f.part[b.number]
+// canReach reports whether messages pass between two nodes.
+func (f *cluster) canReach(a, b *node) bool {
+	return b != nil && !a.down && !b.down && !a.paused && !b.paused && f.partition[a.number] == f.partition[b.number]
 }
 
-// gossip lets a node hear the others and update its owner.
-func (f *fleet) gossip(ctx context.Context, n *node) {
+// gossip makes the reachable nodes known to a node and updates its owner.
+func (f *cluster) gossip(ctx context.Context, n *node) {
 	for ctx.Err() == nil {
 		f.mu.Lock()
 		paused := n.paused
-		var heard []membership.Host
+		var reachable []membership.Host
 		for _, other := range f.nodes {
-			if other != n && f.reaches(n, other) {
-				heard = append(heard, other.view.Self())
+			if other != n && f.canReach(n, other) {
+				reachable = append(reachable, other.view.Self())
 			}
 		}
 		f.mu.Unlock()
 		if !paused {
-			for _, h := range heard {
+			for _, h := range reachable {
 				n.view.Observe(h)
 			}
 			n.view.UpdateSelf(func(*membership.Host) {})
@@ -128,8 +130,8 @@
 	}
 }
 
-// ask carries a call to an owner, with a delay each way.
-func (f *fleet) ask(ctx context.Context, from *node, h membership.Host, holder Holder, wants []Want) ([]int, bool) {
+// callOwner delivers a call to an owner, with a delay in each direction.
+func (f *cluster) callOwner(ctx context.Context, from *node, h membership.Host, holder Holder, wants []Want) ([]int, bool) {
 	f.mu.Lock()
 	delay := time.Duration(1+f.rng.IntN(40)) * time.Millisecond
 	lost := f.rng.IntN(100) < f.sc.LossPercent
@@ -138,9 +140,9 @@
 	f.mu.Lock()
 	i := slices.IndexFunc(f.nodes, func(n *node) bool { return n != nil && n.view.Self().ID == h.ID })
 	to := f.nodes[i]
-	ok := to == from || f.reaches(from, to)
+	ok := to == from || f.canReach(from, to)
 	if to != from {
-		f.asks++
+		f.ownerCalls++
 	}
 	f.mu.Unlock()
 	if !ok {
@@ -152,9 +154,9 @@
 	return granted, ok && !lost
 }
 
-// callers sends requests to a node.
-func (f *fleet) callers(ctx context.Context, n *node) {
-	time.Sleep(time.Until(f.begin.Add(warmup)))
+// generateLoad sends requests to a node.
+func (f *cluster) generateLoad(ctx context.Context, n *node) {
+	time.Sleep(time.Until(f.startedAt.Add(warmup)))
 	demand := f.sc.Demand[n.number]
 	cl, _ := f.table.Class(testClass)
 	for i := 0; demand > 0 && ctx.Err() == nil; i++ {
@@ -163,20 +165,20 @@
 		paused := n.paused
 		f.mu.Unlock()
 		if !paused {
-			go f.call(ctx, n, cl, f.account(n, i))
+			go f.sendRequest(ctx, n, cl, f.accountFor(n, i))
 		}
 	}
 }
 
-// account returns whose turn it is. With one account, all hosts share it.
-func (f *fleet) account(n *node, i int) table.AccountName {
+// accountFor returns the account of the i-th request at a node.
+func (f *cluster) accountFor(n *node, i int) table.AccountName {
 	if f.sc.Accounts == 0 {
 		return "studio"
 	}
 	return table.AccountName(fmt.Sprintf("account-%d-%d", n.number, i%f.sc.Accounts))
 }
 
-func (f *fleet) call(ctx context.Context, n *node, cl *table.Class, account table.AccountName) {
+func (f *cluster) sendRequest(ctx context.Context, n *node, cl *table.Class, account table.AccountName) {
 	done, err := n.keeper.Admit(ctx, cl, account)
 	if err != nil {
 		return
@@ -186,7 +188,7 @@
 	f.inUse++
 	f.peak = max(f.peak, f.inUse)
 	f.mu.Unlock()
-	// A daemon that dies takes its requests with it.
+	// The requests of a daemon end when it is killed.
 	select {
 	case <-time.After(time.Duration(f.sc.HoldMs) * time.Millisecond):
 	case <-ctx.Done():
@@ -197,14 +199,14 @@
 	done()
 }
 
-func (f *fleet) happen(e event) {
+func (f *cluster) applyEvent(e event) {
 	f.mu.Lock()
 	var started []int
 	for _, i := range e.Hosts {
 		n := f.nodes[i]
 		switch e.Kind {
 		case "split":
-			f.part[i] = 1
+			f.partition[i] = 1
 		case "pause":
 			n.paused = true
 		case "wake":
@@ -217,7 +219,7 @@
 		}
 	}
 	if e.Kind == "heal" {
-		clear(f.part)
+		clear(f.partition)
 	}
 	f.mu.Unlock()
 	for _, i := range started {
@@ -225,16 +227,16 @@
 	}
 }
 
-func (f *fleet) run() {
-	f.begin = time.Now()
+func (f *cluster) run() {
+	f.startedAt = time.Now()
 	for i := range f.sc.Hosts {
 		f.start(i, 1)
 	}
 	for _, e := range f.sc.Events {
-		time.Sleep(time.Until(f.begin.Add(time.Duration(e.AtMs) * time.Millisecond)))
-		f.happen(e)
+		time.Sleep(time.Until(f.startedAt.Add(time.Duration(e.AtMs) * time.Millisecond)))
+		f.applyEvent(e)
 	}
-	time.Sleep(time.Until(f.begin.Add(time.Duration(f.sc.Seconds) * time.Second)))
+	time.Sleep(time.Until(f.startedAt.Add(time.Duration(f.sc.Seconds) * time.Second)))
 	f.mu.Lock()
 	for _, n := range f.nodes {
 		n.stop()
@@ -243,10 +245,11 @@
 	time.Sleep(time.Minute)
 }
 
-// Limits hold over all daemons together, whatever happens to hosts, links and
-// answers: a caller who spreads requests over all hosts never gets more than
-// the limit, because owners hand out only what falls to hosts that they hear,
-// and slices end by themselves.
+// Guards against admitting more than a limit when a caller spreads its requests
+// over all hosts while hosts fail, pause or restart, the network splits, or
+// owners' responses are lost. Several daemons may then consider themselves the
+// owner of the same limit; each grants only the share of the hosts that it can
+// reach, and slices expire.
 func TestLimitsHoldOverAllDaemons(t *testing.T) {
 	data, err := os.ReadFile("testdata/scenarios.json")
 	if err != nil {
@@ -265,11 +268,11 @@
 	}
 }
 
-func newFleet(t *testing.T, sc scenario, limits table.Limits) *fleet {
-	return &fleet{
+func newCluster(t *testing.T, sc scenario, limits table.Limits) *cluster {
+	return &cluster{
 		t: t, sc: sc, clock: clockwork.NewRealClock(),
 		table: &table.Table{Classes: []table.Class{{Name: testClass, Limits: limits}}},
-		nodes: make([]*node, sc.Hosts), part: make([]int, sc.Hosts), rng: rand.New(rand.NewPCG(sc.Seed, 1)),
+		nodes: make([]*node, sc.Hosts), partition: make([]int, sc.Hosts), rng: rand.New(rand.NewPCG(sc.Seed, 1)),
 	}
 }
 
@@ -278,7 +281,7 @@
 	if kind == Concurrency {
 		limits = table.Limits{Concurrency: sc.Concurrency}
 	}
-	f := newFleet(t, sc, limits)
+	f := newCluster(t, sc, limits)
 	f.run()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -289,12 +292,13 @@
 	f.checkRate()
 }
 
-// seconds is how long callers came.
-func (f *fleet) seconds() float64 { return float64(f.sc.Seconds) - warmup.Seconds() }
+// loadSeconds is how long requests were sent.
+func (f *cluster) loadSeconds() float64 { return float64(f.sc.Seconds) - warmup.Seconds() }
 
-// Each of many accounts has a rate and a concurrency of its own, and answers
-// take ten seconds. What the daemons ask each other must not grow with the
-// requests in progress: at the size to design for, a daemon has a hundred.
+// Guards against calls to owners that grow in number with the requests in
+// progress. Each of many accounts has its own rate and concurrency limit, and
+// every request takes ten seconds, so that each daemon has a hundred requests
+// in progress, as at the size that the system is designed for.
 func TestAsksGrowWithArrivalsOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const hosts, rate, seconds = 14, 10, 30
@@ -302,24 +306,25 @@
 		for range hosts {
 			sc.Demand = append(sc.Demand, rate)
 		}
-		f := newFleet(t, sc, table.Limits{AccountRate: 5, AccountConcurrency: 5})
+		f := newCluster(t, sc, table.Limits{AccountRate: 5, AccountConcurrency: 5})
 		f.run()
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		perDaemon := float64(f.asks) / hosts / f.seconds()
-		t.Logf("%.1f calls a second and daemon, %d admitted", perDaemon, len(f.admitted))
+		perDaemon := float64(f.ownerCalls) / hosts / f.loadSeconds()
+		t.Logf("%.1f owner calls per second and daemon, %d requests admitted", perDaemon, len(f.admitted))
 		if len(f.admitted) < 0.95*rate*hosts*(seconds-5) {
-			t.Errorf("only %d admitted", len(f.admitted))
+			t.Errorf("only %d requests admitted", len(f.admitted))
 		}
 		if perDaemon > 4*rate {
-			t.Errorf("%.1f calls a second and daemon for %d requests", perDaemon, rate)
+			t.Errorf("%.1f owner calls per second and daemon for %d requests per second", perDaemon, rate)
 		}
 	})
 }
 
-// A caller's request needs a limit while a call about another limit is on its
-// way to the same owner. It must be asked for as soon as that call has ended:
-// nothing else may come that would ask, so that the caller would wait for ever.
+// Guards against a request that waits forever: it needs a limit while a call
+// for another limit of the same owner is in flight, and no later event would
+// trigger a call. It must be included in a call as soon as the current one
+// ends.
 func TestLateComerIsAskedForNext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := clockwork.NewRealClock()
@@ -348,44 +353,45 @@
 					t.Error(err)
 				}
 			case <-time.After(time.Minute):
-				t.Fatal("a request was never asked for")
+				t.Fatal("a request was not included in any call to the owner")
 			}
 		}
 	})
 }
 
-func (f *fleet) checkConcurrency() {
+func (f *cluster) checkConcurrency() {
 	if f.peak > f.sc.Concurrency {
 		f.t.Errorf("%d requests in progress, the limit is %d", f.peak, f.sc.Concurrency)
 	}
-	// Each place serves 1/holdMs requests a second.
-	possible := float64(f.sc.Concurrency) * f.seconds() * 1000 / float64(f.sc.HoldMs)
-	f.checkUse(possible)
+	// Each permit serves 1000/HoldMs requests per second.
+	possible := float64(f.sc.Concurrency) * f.loadSeconds() * 1000 / float64(f.sc.HoldMs)
+	f.checkUtilization(possible)
 }
 
-// checkRate checks every window of admissions: a slice may be used a lifetime
-// after it was handed out, and a burst may come at once.
-func (f *fleet) checkRate() {
+// checkRate checks the number of admissions in every time window. A slice may
+// be used up to its lifetime after it was granted, and a full burst may be
+// admitted at once.
+func (f *cluster) checkRate() {
 	for i := range f.admitted {
 		for j := i; j < len(f.admitted); j++ {
 			window := f.admitted[j].Sub(f.admitted[i]) + SliceLifetime
-			most := f.sc.Rate*window.Seconds() + f.sc.Rate*burst
-			if n := j - i + 1; float64(n) > most {
+			maxAdmitted := f.sc.Rate*window.Seconds() + f.sc.Rate*burstSeconds
+			if n := j - i + 1; float64(n) > maxAdmitted {
 				f.t.Fatalf("%d requests admitted within %v", n, f.admitted[j].Sub(f.admitted[i]))
 			}
 		}
 	}
-	f.checkUse(f.sc.Rate * f.seconds())
+	f.checkUtilization(f.sc.Rate * f.loadSeconds())
 }
 
-func (f *fleet) checkUse(possible float64) {
+func (f *cluster) checkUtilization(possible float64) {
 	var offered float64
 	for _, d := range f.sc.Demand {
-		offered += d * f.seconds()
+		offered += d * f.loadSeconds()
 	}
-	use := float64(len(f.admitted)) / min(possible, offered)
-	f.t.Logf("use %.3f, peak %d, admitted %d", use, f.peak, len(f.admitted))
-	if use < f.sc.MinUse {
-		f.t.Errorf("only %.2f of the limit was used", use)
+	utilization := float64(len(f.admitted)) / min(possible, offered)
+	f.t.Logf("utilization %.3f, at most %d requests in progress, %d admitted", utilization, f.peak, len(f.admitted))
+	if utilization < f.sc.MinUse {
+		f.t.Errorf("only %.2f of the limit was used", utilization)
 	}
 }
--- a/internal/order/group.go
+++ b/internal/order/group.go
@@ -13,137 +13,141 @@
 )
 
 const (
-	// callTimeout bounds each call to an engine.
+	// callTimeout is the timeout of each call to an engine.
 	callTimeout = 3 * time.Second
-	// margin is how long the lease must hold on when an order is sent: until
-	// the call has ended, and a second more.
-	margin = callTimeout + time.Second
-	// longestFlight is how long after its call has ended an order may still
-	// take effect at an engine that checks no fencing numbers. It is an
+	// leaseMargin is how long the lease must remain valid when an order is
+	// sent: until the call has timed out, plus one second.
+	leaseMargin = callTimeout + time.Second
+	// maxOrderDelay is how long after its call has ended an order may still
+	// take effect at an engine that does not check fencing numbers. It is an
 	// assumption about the network and the engine.
-	longestFlight = 30 * time.Second
-	// metInterval and unmetInterval are the times between looks at an engine
-	// in its wanted state and out of it.
-	metInterval   = 15 * time.Second
-	unmetInterval = 2 * time.Second
-	// noOrdersInterval is the same for an engine that takes no orders.
-	noOrdersInterval = 10 * time.Minute
+	maxOrderDelay = 30 * time.Second
+	// convergedInterval and pendingInterval are the times between checks of an
+	// engine that is in its wanted state and of one that is not.
+	convergedInterval = 15 * time.Second
+	pendingInterval   = 2 * time.Second
+	// unsupportedInterval is the time between checks of an engine that does not
+	// accept orders.
+	unsupportedInterval = 10 * time.Minute
 )
 
-// group is one group of engines. The mutex keeps its steps apart; a step that
-// finds another one running does nothing.
+// group reconciles one group of engines. Only one reconciliation runs at a
+// time; a call that finds another one running returns at once.
 type group struct {
 	r  *Reconciler
 	id Group
 
 	mu      sync.Mutex
-	keeper  *lease.Keeper
-	weights *weightSlot
-	// next is when an engine is to be looked at again, by its URL.
-	next map[string]time.Time
+	renewer *lease.Keeper
+	slot    *weightSlot
+	// nextCheck is when each engine is due to be checked, by its URL.
+	nextCheck map[string]time.Time
 }
 
 func newGroup(r *Reconciler, id Group) *group {
 	return &group{
-		r:       r,
-		id:      id,
-		keeper:  lease.NewKeeper(r.NewHolder(), id.Name()),
-		weights: newWeightSlot(r.NewHolder()),
-		next:    map[string]time.Time{},
+		r:         r,
+		id:        id,
+		renewer:   lease.NewKeeper(r.NewHolder(), id.Name()),
+		slot:      newWeightSlot(r.NewHolder()),
+		nextCheck: map[string]time.Time{},
 	}
 }
 
-func (g *group) tryStep(ctx context.Context, engines []*table.Endpoint) {
+func (g *group) tryReconcile(ctx context.Context, engines []*table.Endpoint) {
 	if !g.mu.TryLock() {
 		return
 	}
 	defer g.mu.Unlock()
 	if len(engines) == 0 || !g.r.Mine(g.id) {
-		g.weights.giveUp(ctx)
-		g.keeper.GiveUp(ctx)
-		clear(g.next)
+		g.slot.release(ctx)
+		g.renewer.GiveUp(ctx)
+		clear(g.nextCheck)
 		return
 	}
 	for _, e := range engines {
-		// Hold renews the lease when that is due, also between slow engines.
-		if !g.keeper.Hold(ctx, margin) {
-			clear(g.next)
+		// Hold renews the lease when that is due, including between engines,
+		// whose calls can take long.
+		if !g.renewer.Hold(ctx, leaseMargin) {
+			clear(g.nextCheck)
 			return
 		}
-		if !g.r.Clock.Now().Before(g.next[e.URL]) {
-			g.next[e.URL] = g.r.Clock.Now().Add(g.tend(ctx, e))
+		if !g.r.Clock.Now().Before(g.nextCheck[e.URL]) {
+			g.nextCheck[e.URL] = g.r.Clock.Now().Add(g.reconcileEngine(ctx, e))
 		}
 	}
 }
 
-// tend looks at one engine, orders what it lacks, and returns when to look at
-// it again.
-func (g *group) tend(ctx context.Context, e *table.Endpoint) time.Duration {
-	l := g.keeper.Lease()
-	if !e.ChecksFence && g.r.Clock.Since(l.Taken) < longestFlight {
-		// An order of the last holder may still take effect. It would not be
-		// refused, so it must be seen in the state that is read below.
-		return unmetInterval
+// reconcileEngine checks one engine, sends an order if the engine is not in its
+// wanted state, and returns the delay until the next check.
+func (g *group) reconcileEngine(ctx context.Context, e *table.Endpoint) time.Duration {
+	l := g.renewer.Lease()
+	if !e.ChecksFence && g.r.Clock.Since(l.Taken) < maxOrderDelay {
+		// An order of the previous holder may still take effect. The engine
+		// would not reject it, so the state must be read after that time to
+		// include its effect.
+		return pendingInterval
 	}
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	state, err := g.r.State(callCtx, e)
 	if err != nil {
-		return g.failed(err)
+		return g.handleError(err)
 	}
 	o := engine.WantedOrder(e)
 	o.Fence = l.Fence
-	met := state.Meets(&o)
-	announced := !e.ChecksFence || state.Fence >= o.Fence
+	converged := state.Meets(&o)
+	fenceKnown := !e.ChecksFence || state.Fence >= o.Fence
 	switch {
 	case state.Loading:
-		g.weights.take(ctx, e)
-		if met && announced {
-			return unmetInterval
+		g.slot.acquire(ctx, e)
+		if converged && fenceKnown {
+			return pendingInterval
 		}
-	case met:
-		g.weights.done(ctx, e)
-		if announced {
-			return metInterval
+	case converged:
+		g.slot.releaseFor(ctx, e)
+		if fenceKnown {
+			return convergedInterval
 		}
-	case !g.weights.take(ctx, e):
+	case !g.slot.acquire(ctx, e):
 		g.r.Metrics.Inc("order.waitsForWeights")
-		return unmetInterval
+		return pendingInterval
 	}
-	return g.send(ctx, e, o)
+	return g.sendOrder(ctx, e, o)
 }
 
-// send gives an order. An engine that is in its wanted state already gets one
-// as well after a takeover, if it checks fencing numbers: without having seen
-// the new number it would still take an order of the last holder.
-func (g *group) send(ctx context.Context, e *table.Endpoint, o engine.Order) time.Duration {
+// sendOrder sends an order. After a takeover, an engine that checks fencing
+// numbers gets an order even if it is already in its wanted state: until it has
+// seen the new number, it would accept a late order of the previous holder.
+func (g *group) sendOrder(ctx context.Context, e *table.Endpoint, o engine.Order) time.Duration {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	// The daemon may have paused since it last looked at its lease. A pause
-	// between this line and the call remains; see docs/design/leases.md.
-	if !g.keeper.Valid(margin) {
+	// The daemon may have been paused since it last checked its lease. A pause
+	// between this line and the call is still possible; see
+	// docs/design/leases.md.
+	if !g.renewer.Valid(leaseMargin) {
 		g.r.Metrics.Inc("order.leaseTooShort")
 		return 0
 	}
 	if err := g.r.Order(ctx, e, o); err != nil {
-		return g.failed(err)
+		return g.handleError(err)
 	}
 	g.r.Metrics.Inc("order.sent")
-	return unmetInterval
+	return pendingInterval
 }
 
-func (g *group) failed(err error) time.Duration {
+func (g *group) handleError(err error) time.Duration {
 	switch {
 	case errors.Is(err, engine.ErrNoOrders):
 		g.r.Metrics.Inc("order.unsupported")
-		return noOrdersInterval
+		return unsupportedInterval
 	case errors.Is(err, engine.ErrOldFence):
-		// Somebody has taken over: this lease has ended, whatever the clock
-		// here says.
+		// Another holder has taken over, so the lease is lost, even if it has
+		// not expired by the local clock.
 		g.r.Metrics.Inc("order.oldFence")
-		g.keeper.Forget()
+		g.renewer.Forget()
 		return 0
 	}
 	g.r.Metrics.Inc("order.failed")
-	return unmetInterval
+	return pendingInterval
 }
--- a/internal/order/reconciler.go
+++ b/internal/order/reconciler.go
@@ -1,6 +1,7 @@
-// Package order brings engines to the state that the table wants of them:
-// their pool's model and their adapters. Orders go out under a lease for each
-// group of engines only. See docs/design/leases.md.
+// Package order reconciles engines with the table: each engine loads the model
+// of its pool and its adapters. Engines are divided into groups, and only the
+// holder of a group's lease sends orders to its engines. See
+// docs/design/leases.md.
 package order
 
 import (
@@ -19,45 +20,47 @@
 )
 
 const (
-	// Groups is the number of leases that the engines are divided among. It
-	// is fixed: an engine that changed its group would have two holders whose
-	// fencing numbers can't be compared.
+	// Groups is the number of engine groups, each with its own lease. It must
+	// not change: an engine that moved to another group would receive fencing
+	// numbers of two unrelated leases, which can't be compared.
 	Groups = 32
-	// tickInterval is the time between looks at all groups.
+	// tickInterval is the time between reconciliations of all groups.
 	tickInterval = 2 * time.Second
 )
 
-// Group numbers a group of engines.
+// Group is the number of a group of engines.
 type Group int
 
 // Name returns the name of the group's lease.
 func (g Group) Name() string { return fmt.Sprintf("orders/%02d", int(g)) }
 
-// GroupOf returns the group of an engine. It depends on the address alone, so
-// that rows which name the same engine are in the same group.
+// GroupOf returns the group of an engine. It depends only on the URL, so that
+// table rows that refer to the same engine are in the same group.
 func GroupOf(e *table.Endpoint) Group { return Group(xxhash.Sum64String(e.URL) % Groups) }
 
-// Reconciler gives the orders of one daemon. All fields must be set before it
-// runs.
+// Reconciler sends the orders of one daemon. All exported fields must be set
+// before use.
 type Reconciler struct {
 	Clock   clockwork.Clock
 	Metrics *metric.Registry
-	// Mine tells whether this daemon should hold a group's lease. Two daemons
-	// may think so for a while; the lease decides.
+	// Mine reports whether this daemon should hold a group's lease. Two daemons
+	// may both return true for a while; the lease determines which of them
+	// sends orders.
 	Mine func(Group) bool
-	// Table returns the table in force; nil without one.
+	// Table returns the current table, or nil if there is none.
 	Table func() *table.Table
-	// State and Order ask and tell an engine.
+	// State reads the state of an engine; Order sends it an order.
 	State func(context.Context, *table.Endpoint) (engine.State, error)
 	Order func(context.Context, *table.Endpoint, engine.Order) error
-	// NewHolder returns a holder of leases. Each group has its own.
+	// NewHolder returns a new lease holder. Holders are not safe for concurrent
+	// use, so each group has its own.
 	NewHolder func() *lease.Holder
 
 	once   sync.Once
 	groups []*group
 }
 
-// Run looks after the groups until ctx ends.
+// Run reconciles all groups periodically until ctx ends.
 func (r *Reconciler) Run(ctx context.Context) {
 	ticker := r.Clock.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -68,16 +71,16 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.Chan():
-			for g, engines := range r.engines() {
-				running.Go(func() { r.group(Group(g)).tryStep(ctx, engines) })
+			for g, engines := range r.enginesByGroup() {
+				running.Go(func() { r.group(Group(g)).tryReconcile(ctx, engines) })
 			}
 		}
 	}
 }
 
-// Step looks after one group once.
+// Step reconciles one group once.
 func (r *Reconciler) Step(ctx context.Context, g Group) {
-	r.group(g).tryStep(ctx, r.engines()[g])
+	r.group(g).tryReconcile(ctx, r.enginesByGroup()[g])
 }
 
 func (r *Reconciler) group(g Group) *group {
@@ -89,8 +92,8 @@
 	return r.groups[g]
 }
 
-// engines returns the table's engines by group.
-func (r *Reconciler) engines() [][]*table.Endpoint {
+// enginesByGroup returns the table's engines, indexed by group.
+func (r *Reconciler) enginesByGroup() [][]*table.Endpoint {
 	byGroup := make([][]*table.Endpoint, Groups)
 	t := r.Table()
 	if t == nil {
--- a/internal/order/script_test.go
+++ b/internal/order/script_test.go
@@ -37,17 +37,18 @@
 	Model    string         `json:"model"`
 	Adapters []string       `json:"adapters"`
 	By       table.Duration `json:"by"`
-	// Count is of the orders that took effect, or of the leases taken and not
-	// lost.
+	// Count is the expected number of orders that took effect, or of leases
+	// acquired minus leases lost.
 	Count       int                    `json:"count"`
 	Error       string                 `json:"error"`
 	Faults      standin.PlatformFaults `json:"faults"`
 	OrderFaults standin.OrderFaults    `json:"orderFaults"`
 }
 
-// An operator adds an adapter to an engine. Hosts change, pause and lose
-// replies meanwhile. The engine must come to the wanted state, and no order of
-// a host that has lost the right to give it may undo a newer one.
+// Guards against an engine that never reaches its wanted state, and against a
+// late order of a former lease holder that overwrites a newer one. An operator
+// changes the adapters of an engine while daemons take over from each other,
+// pause and lose replies.
 func TestScripts(t *testing.T) {
 	data, err := os.ReadFile("testdata/orders.json")
 	if err != nil {
@@ -60,7 +61,7 @@
 	for _, s := range scripts {
 		t.Run(s.Name, func(t *testing.T) {
 			t.Parallel()
-			r := newRun(t, s.Checks)
+			r := newHarness(t, s.Checks)
 			for i, step := range s.Steps {
 				r.step(fmt.Sprintf("step %d (%s %s)", i+1, step.Do, step.On), step)
 			}
@@ -69,33 +70,35 @@
 	}
 }
 
-// run is a platform and one engine with two daemons.
-type run struct {
+// harness is a platform, one engine and two daemons.
+type harness struct {
 	t        *testing.T
 	clock    *clockwork.FakeClock
 	platform *standin.Platform
 	client   *platform.Client
 	orders   *standin.Orders
 	table    *table.Table
-	daemons  map[string]*orderer
+	daemons  map[string]*testDaemon
 }
 
-// orderer is one daemon as far as orders are concerned.
-type orderer struct {
+// testDaemon is the part of a daemon that sends orders.
+type testDaemon struct {
 	reconciler *order.Reconciler
 	metrics    *metric.Registry
-	mine       bool
+	ownsGroup  bool
 	paused     bool
-	// slow is how long the daemon stands still after it has read the state.
-	slow time.Duration
-	// asleep has the order that a paused daemon was about to send.
-	asleep func() error
+	// stateDelay is how long the daemon is paused after it has read the
+	// engine's state.
+	stateDelay time.Duration
+	// pendingOrder sends the order that the daemon was about to send when it
+	// was paused.
+	pendingOrder func() error
 }
 
 var errPaused = errors.New("paused")
 
-func newRun(t *testing.T, checks bool) *run {
-	r := &run{t: t, clock: clockwork.NewFakeClock(), platform: standin.NewPlatform(), orders: standin.NewOrders(checks, nil), daemons: map[string]*orderer{}}
+func newHarness(t *testing.T, checks bool) *harness {
+	r := &harness{t: t, clock: clockwork.NewFakeClock(), platform: standin.NewPlatform(), orders: standin.NewOrders(checks, nil), daemons: map[string]*testDaemon{}}
 	store := httptest.NewServer(r.platform.Handler())
 	t.Cleanup(store.Close)
 	mux := http.NewServeMux()
@@ -103,30 +106,30 @@
 	engines := httptest.NewServer(mux)
 	t.Cleanup(engines.Close)
 	r.table = &table.Table{Endpoints: []table.Endpoint{{Name: "e", Kind: table.KindEngine, Pool: "m", URL: engines.URL, ChecksFence: checks}}}
-	// The platform's client waits on the real clock between retries.
+	// The platform client waits on the real clock between retries.
 	r.client = platform.NewClient(store.URL, &http.Transport{}, time.Minute)
 	for _, name := range []string{"a", "b"} {
-		r.daemons[name] = r.newOrderer()
+		r.daemons[name] = r.newDaemon()
 	}
 	return r
 }
 
-func (r *run) newOrderer() *orderer {
+func (r *harness) newDaemon() *testDaemon {
 	client := engine.NewClient(endpoint.NewSender(endpoint.NewTransport()))
-	d := &orderer{metrics: metric.NewRegistry()}
+	d := &testDaemon{metrics: metric.NewRegistry()}
 	d.reconciler = &order.Reconciler{
 		Clock:   r.clock,
 		Metrics: d.metrics,
-		Mine:    func(order.Group) bool { return d.mine },
+		Mine:    func(order.Group) bool { return d.ownsGroup },
 		Table:   func() *table.Table { return r.table },
 		State: func(ctx context.Context, e *table.Endpoint) (engine.State, error) {
 			state, err := client.State(ctx, e)
-			r.clock.Advance(d.slow)
+			r.clock.Advance(d.stateDelay)
 			return state, err
 		},
 		Order: func(ctx context.Context, e *table.Endpoint, o engine.Order) error {
 			if d.paused {
-				d.asleep = func() error { return client.Order(context.WithoutCancel(ctx), e, o) }
+				d.pendingOrder = func() error { return client.Order(context.WithoutCancel(ctx), e, o) }
 				return errPaused
 			}
 			return client.Order(ctx, e, o)
@@ -136,22 +139,22 @@
 	return d
 }
 
-func (r *run) step(name string, s step) {
+func (r *harness) step(name string, s step) {
 	r.t.Helper()
 	d := r.daemons[s.On]
 	switch s.Do {
 	case "wants":
 		r.table.Endpoints[0].Adapters = s.Adapters
 	case "mine":
-		d.mine = true
+		d.ownsGroup = true
 	case "notMine":
-		d.mine = false
+		d.ownsGroup = false
 	case "pause":
 		d.paused = true
 	case "slowState":
-		d.slow = s.By.Std()
+		d.stateDelay = s.By.Std()
 	case "wake":
-		r.wake(name, d, s)
+		r.resume(name, d, s)
 	case "step":
 		d.reconciler.Step(r.t.Context(), order.GroupOf(&r.table.Endpoints[0]))
 	case "advance":
@@ -172,26 +175,26 @@
 	}
 }
 
-// wake lets a paused daemon send what it was about to send.
-func (r *run) wake(name string, d *orderer, s step) {
+// resume lets a paused daemon send its pending order.
+func (r *harness) resume(name string, d *testDaemon, s step) {
 	r.t.Helper()
 	d.paused = false
-	if d.asleep == nil {
-		r.t.Fatalf("%s: the daemon was not about to send", name)
+	if d.pendingOrder == nil {
+		r.t.Fatalf("%s: the daemon has no pending order", name)
 	}
-	err := d.asleep()
+	err := d.pendingOrder()
 	if s.Error == "oldFence" && !errors.Is(err, engine.ErrOldFence) || s.Error == "" && err != nil {
-		r.t.Errorf("%s: error %v", name, err)
+		r.t.Errorf("%s: unexpected error %v", name, err)
 	}
 }
 
-func (r *run) check(name string, s step, d *orderer) {
+func (r *harness) check(name string, s step, d *testDaemon) {
 	r.t.Helper()
 	switch s.Do {
 	case "state":
 		got := r.orders.State()
 		if got.Model != s.Model || !slices.Equal(got.Adapters, s.Adapters) {
-			r.t.Fatalf("%s: %+v", name, got)
+			r.t.Fatalf("%s: the engine's state is %+v", name, got)
 		}
 	case "orders":
 		if n := len(r.orders.Taken()); n != s.Count {
@@ -202,25 +205,25 @@
 			r.t.Fatalf("%s: %d leases, want %d", name, n, s.Count)
 		}
 	default:
-		r.t.Fatalf("%s: no such step", name)
+		r.t.Fatalf("%s: unknown step", name)
 	}
 }
 
-// checkFences checks that an engine that checks took no order with a smaller
-// number after one with a larger.
-func (r *run) checkFences() {
+// checkFences checks that an engine that checks fencing numbers accepted no
+// order with a smaller number after one with a larger number.
+func (r *harness) checkFences() {
 	var last uint64
 	for _, o := range r.orders.Taken() {
 		if r.orders.ChecksFence && o.Fence < last {
-			r.t.Errorf("number %d took effect after %d", o.Fence, last)
+			r.t.Errorf("order with fencing number %d took effect after one with %d", o.Fence, last)
 		}
 		last = o.Fence
 	}
 }
 
-// Many engines of many groups are to load a new adapter at once, from a
-// weight store that bears few loads. No more than the slots may go on at any
-// time, and all engines must have loaded in the end.
+// Guards against overloading the weight store when engines of many groups load
+// a new model at the same time. No more than WeightSlots loads may run at once,
+// and all engines must finish loading.
 func TestWeightSlots(t *testing.T) {
 	const engines = 12
 	clock := clockwork.NewFakeClock()
--- a/internal/order/weights.go
+++ b/internal/order/weights.go
@@ -9,50 +9,51 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// WeightSlots is how many engines may load from the weight store at once. The
-// slots are leases, so that they count over all daemons.
+// WeightSlots is the number of engines that may load from the weight store at
+// once. Each slot is a lease, so the limit applies across all daemons.
 const WeightSlots = 4
 
-// weightSlot is a group's slot at the weight store: each group loads one
-// engine at a time.
+// weightSlot is the weight store slot of a group. A group has at most one slot,
+// so it loads one engine at a time.
 type weightSlot struct {
 	holder *lease.Holder
-	// keeper keeps the slot that is held; nil without one.
-	keeper *lease.Keeper
-	// url is the engine that it is held for.
-	url string
+	// renewer holds the lease of the slot; nil without a slot.
+	renewer *lease.Keeper
+	// engineURL is the engine that the slot is held for.
+	engineURL string
 }
 
 func newWeightSlot(h *lease.Holder) *weightSlot { return &weightSlot{holder: h} }
 
-// take tells whether an engine may load. It tries the slots in random
-// order, so that waiting groups do not all ask for the same one.
-func (w *weightSlot) take(ctx context.Context, e *table.Endpoint) bool {
-	if w.keeper != nil && w.keeper.Hold(ctx, 0) {
-		return w.url == e.URL
+// acquire reports whether an engine may load, and takes a slot if the group has
+// none. It tries the slots in random order, so that waiting groups do not all
+// request the same one.
+func (w *weightSlot) acquire(ctx context.Context, e *table.Endpoint) bool {
+	if w.renewer != nil && w.renewer.Hold(ctx, 0) {
+		return w.engineURL == e.URL
 	}
 	for _, n := range rand.Perm(WeightSlots) {
 		k := lease.NewKeeper(w.holder, fmt.Sprintf("weights/%d", n))
 		if k.Hold(ctx, 0) {
-			w.keeper = k
-			w.url = e.URL
+			w.renewer = k
+			w.engineURL = e.URL
 			return true
 		}
 	}
 	return false
 }
 
-// done gives the slot back if it was held for this engine.
-func (w *weightSlot) done(ctx context.Context, e *table.Endpoint) {
-	if w.url == e.URL {
-		w.giveUp(ctx)
+// releaseFor releases the slot if it is held for this engine.
+func (w *weightSlot) releaseFor(ctx context.Context, e *table.Endpoint) {
+	if w.engineURL == e.URL {
+		w.release(ctx)
 	}
 }
 
-func (w *weightSlot) giveUp(ctx context.Context) {
-	if w.keeper != nil {
-		w.keeper.GiveUp(ctx)
+func (w *weightSlot) release(ctx context.Context) {
+	if w.renewer != nil {
+		w.renewer.GiveUp(ctx)
 	}
-	w.keeper = nil
-	w.url = ""
+	w.renewer = nil
+	w.engineURL = ""
 }
