--- a/internal/dispatch/body.go
+++ b/internal/dispatch/body.go
@@ -7,20 +7,19 @@
 	"github.com/go-faster/errors"
 )
 
-// message is one turn of a chat.
 type message struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// lengthFields are the names under which a caller bounds the answer's length
-// in tokens.
+// lengthFields are the request fields that limit the length of the response in
+// tokens.
 var lengthFields = []string{"max_tokens", "max_completion_tokens"}
 
-// body returns the request for the next engine. After a broken attempt it
-// carries the text that the caller already has, as the beginning of the
-// answer that the engine is to continue.
-func (r *chatRun) body() ([]byte, error) {
+// requestBody returns the body of the request to the next engine. After a
+// failed attempt it contains the text that the caller has already received, as
+// a partial response for the engine to continue.
+func (r *chatRun) requestBody() ([]byte, error) {
 	fields := maps.Clone(r.chat.Fields)
 	fields["stream"] = json.RawMessage("true")
 	fields["stream_options"] = json.RawMessage(`{"include_usage":true}`)
@@ -29,56 +28,57 @@
 		return nil, err
 	}
 	fields["priority"] = priority
-	if err := r.boundLength(fields); err != nil {
+	if err := r.limitLength(fields); err != nil {
 		return nil, err
 	}
-	if len(r.answer.text) > 0 {
-		if err := continueFrom(fields, string(r.answer.text)); err != nil {
+	if len(r.response.text) > 0 {
+		if err := continueFrom(fields, string(r.response.text)); err != nil {
 			return nil, err
 		}
 	}
 	return json.Marshal(fields)
 }
 
-// boundLength applies the class's limit to the answer, and takes off what the
-// caller has already: engines count only the tokens that they add.
-func (r *chatRun) boundLength(fields map[string]json.RawMessage) error {
-	most := r.chat.Class.Limits.Tokens
+// limitLength applies the class's token limit to the response and subtracts
+// what the caller has already received, because engines count only the tokens
+// that they generate themselves.
+func (r *chatRun) limitLength(fields map[string]json.RawMessage) error {
+	limit := r.chat.Class.Limits.Tokens
 	name := lengthFields[0]
 	for _, f := range lengthFields {
 		var n int
 		if json.Unmarshal(fields[f], &n) == nil && n > 0 {
 			name = f
-			if most == 0 || n < most {
-				most = n
+			if limit == 0 || n < limit {
+				limit = n
 			}
 		}
 	}
-	if most == 0 {
+	if limit == 0 {
 		return nil
 	}
-	left, err := json.Marshal(max(most-r.answer.chunks, 1))
-	fields[name] = left
+	remaining, err := json.Marshal(max(limit-r.response.chunks, 1))
+	fields[name] = remaining
 	return err
 }
 
-// continueFrom makes the request ask for the rest of an answer that begins
-// with text. A caller may have begun the answer itself; the text then follows
-// what it gave.
+// continueFrom makes the request ask for the rest of a response that begins
+// with text. If the request already contains the beginning of a response
+// written by the caller, text is appended to it.
 func continueFrom(fields map[string]json.RawMessage, text string) error {
 	var messages []json.RawMessage
 	if err := json.Unmarshal(fields["messages"], &messages); err != nil {
 		return errors.Wrap(err, "messages")
 	}
-	begun := message{Role: "assistant"}
+	partial := message{Role: "assistant"}
 	if n := len(messages); n > 0 && string(fields["continue_final_message"]) == "true" {
-		if err := json.Unmarshal(messages[n-1], &begun); err != nil {
+		if err := json.Unmarshal(messages[n-1], &partial); err != nil {
 			return errors.Wrap(err, "the last message")
 		}
 		messages = messages[:n-1]
 	}
-	begun.Content += text
-	last, err := json.Marshal(begun)
+	partial.Content += text
+	last, err := json.Marshal(partial)
 	if err != nil {
 		return err
 	}
--- a/internal/dispatch/body_test.go
+++ b/internal/dispatch/body_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// An engine breaks off an answer that the caller had begun itself. The next
-// engine must see one beginning, the caller's followed by what was delivered,
-// and not two messages of the assistant.
-func TestResumeContinuesWhatTheCallerBegan(t *testing.T) {
+// Guards against two assistant messages when a response is resumed that the
+// caller itself began. The next engine must get a single one that contains the
+// caller's text followed by the text that was delivered.
+func TestResumeAppendsToPartialResponseOfCaller(t *testing.T) {
 	for _, c := range []struct{ name, fields, want string }{
 		{
 			"a plain question",
--- a/internal/dispatch/budget.go
+++ b/internal/dispatch/budget.go
@@ -10,11 +10,12 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// classTerms is the budget of a class for retries, hedges and resumes: under a
-// tenth of its requests, and a few that a quiet class may always use.
-var classTerms = retrybudget.Terms{Share: 0.09, Most: 100, Spare: 4, Refill: 0.2}
+// classBudget limits the retries, hedges and resumes of a class to less than a
+// tenth of its requests, plus a small reserve that is always available to a
+// class with little traffic.
+var classBudget = retrybudget.Terms{Share: 0.09, Most: 100, Spare: 4, Refill: 0.2}
 
-// budgets has the budget of each class. It is safe for concurrent use.
+// budgets holds the retry budget of each class. It is safe for concurrent use.
 type budgets struct {
 	clock clockwork.Clock
 
@@ -26,27 +27,29 @@
 	return &budgets{clock: clock, byClass: map[table.ClassName]*retrybudget.Budget{}}
 }
 
-// of returns the budget of a class and adds one request's share to it.
-func (b *budgets) of(name table.ClassName) *retrybudget.Budget {
+// forRequest credits the budget of a class with the share of one request and
+// returns it.
+func (b *budgets) forRequest(name table.ClassName) *retrybudget.Budget {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	one := b.byClass[name]
-	if one == nil {
-		one = retrybudget.New(b.clock, classTerms)
-		b.byClass[name] = one
+	budget := b.byClass[name]
+	if budget == nil {
+		budget = retrybudget.New(b.clock, classBudget)
+		b.byClass[name] = budget
 	}
-	one.Add()
-	return one
+	budget.Add()
+	return budget
 }
 
-// free tells whether a resume for this reason draws on no budget: the
-// scheduler itself took the place back, and paces what it takes.
-func free(reason outcome.Reason) bool { return reason == outcome.ReasonPreempted }
+// exemptFromBudget reports whether a resume for this reason does not use the
+// budget. Preemptions are decided by the scheduler, which limits their rate
+// itself.
+func exemptFromBudget(reason outcome.Reason) bool { return reason == outcome.ReasonPreempted }
 
-// mayRepeat tells whether a request may be sent once more over a new
-// connection, because a reused one died or stayed silent. When an endpoint
-// drops all its connections, that happens to every request that is on one, so
-// it draws on the budget as a retry does.
+// mayRepeat reports whether a request may be sent again over a new connection
+// because a reused one was lost or stalled. It uses the retry budget like any
+// retry, because an endpoint that drops all its connections causes a repeat of
+// every request in flight on them.
 func (d *Dispatcher) mayRepeat(b *retrybudget.Budget) bool {
 	if !b.Take() {
 		d.metrics.Inc("retryBudget.exhausted")
--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -14,9 +14,10 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// Call is one call of a plain service.
+// Call is one request to a plain service.
 type Call struct {
-	// Fingerprint is the same for all attempts of a caller at one request.
+	// Fingerprint identifies the request. It is the same each time a caller
+	// repeats the request.
 	Fingerprint quarantine.Fingerprint
 
 	Account table.AccountName
@@ -25,13 +26,14 @@
 	Request service.Request
 }
 
-// firstByteShare is the part of its deadline after which an idempotent call
-// that nothing is heard of is tried elsewhere: its connection may be silent
-// for good while new ones work. A call that may not repeat waits on.
-const firstByteShare = 3
+// firstByteDivisor sets the part of its timeout after which an idempotent call
+// without any response is retried over another connection or endpoint: its
+// connection may be stalled for good while new ones work. A call that must not
+// be repeated waits for the full timeout.
+const firstByteDivisor = 3
 
-// Call runs a call of a plain service. A call of a class that is not
-// idempotent is sent at most once. The error is a refusal.
+// Call executes a request to a plain service. A request of a class that is not
+// idempotent is sent at most once. A returned error is an *outcome.Refusal.
 func (d *Dispatcher) Call(ctx context.Context, call *Call) (*service.Response, error) {
 	done, err := d.limits.Admit(ctx, call.Class, call.Account)
 	if err != nil {
@@ -41,22 +43,22 @@
 	call.Request.Timeout = callDeadline(call.Class.Target)
 	call.Request.Idempotent = call.Class.Idempotent
 	if call.Class.Idempotent {
-		call.Request.FirstByte = call.Request.Timeout / firstByteShare
+		call.Request.FirstByte = call.Request.Timeout / firstByteDivisor
 	}
-	run := &callRun{d: d, call: call, budget: d.budgets.of(call.Class.Name)}
+	run := &callRun{d: d, call: call, budget: d.budgets.forRequest(call.Class.Name)}
 	call.Request.MayRepeat = func() bool { return d.mayRepeat(run.budget) }
 	return run.do(ctx)
 }
 
-// callRun is the progress of one call over its attempts.
+// callRun holds the state of one call across its attempts.
 type callRun struct {
 	d      *Dispatcher
 	call   *Call
 	budget *retrybudget.Budget
 	// failed lists the endpoints that failed this call.
 	failed []table.EndpointName
-	// sent says that an endpoint may have executed the call.
-	sent bool
+	// maybeExecuted is set once an endpoint may have executed the call.
+	maybeExecuted bool
 }
 
 func (r *callRun) do(ctx context.Context) (*service.Response, error) {
@@ -83,13 +85,13 @@
 			}
 			return resp, nil
 		}
-		if err := r.mayGoOn(ctx, attempt, err); err != nil {
+		if err := r.prepareRetry(ctx, attempt, err); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// send sends the call to one endpoint.
+// send makes one attempt at the endpoint of the grant.
 func (r *callRun) send(ctx context.Context, grant *placement.Grant) (*service.Response, error) {
 	began := r.d.clock.Now()
 	resp, err := r.d.services.Do(ctx, &grant.Endpoint, r.call.Request)
@@ -103,20 +105,21 @@
 	}
 	grant.Release(placement.Report{Outcome: o, Duration: r.d.clock.Since(began)})
 	if err != nil && !errors.Is(err, service.ErrNotSent) {
-		r.sent = true
-		r.d.noteFailure(ctx, r.call.Fingerprint, &grant.Endpoint, callReason(err))
+		r.maybeExecuted = true
+		r.d.recordEndpointFailure(ctx, r.call.Fingerprint, &grant.Endpoint, callReason(err))
 	}
 	return resp, err
 }
 
-// mayGoOn decides whether another endpoint may be asked after a failure. If
-// not, it returns the refusal.
-func (r *callRun) mayGoOn(ctx context.Context, attempt int, err error) error {
+// prepareRetry decides whether the call may be retried at another endpoint
+// after err. If so, it counts the retry and returns nil, otherwise it returns
+// the refusal for the caller.
+func (r *callRun) prepareRetry(ctx context.Context, attempt int, err error) error {
 	reason := callReason(err)
 	switch {
 	case ctx.Err() != nil:
 		return r.refusal(outcome.ReasonCallerGone, "the caller is gone")
-	case r.sent && !r.call.Class.Idempotent:
+	case r.maybeExecuted && !r.call.Class.Idempotent:
 		return r.refusal(reason, err.Error())
 	case attempt+1 >= maxAttempts:
 		return r.refusal(reason, "every attempt failed: "+err.Error())
@@ -128,26 +131,26 @@
 	return nil
 }
 
-// reserveRefusal returns the refusal when no place was found.
+// reserveRefusal returns the refusal for a reservation that failed with err.
 func (r *callRun) reserveRefusal(ctx context.Context, err error) *outcome.Refusal {
 	if ctx.Err() != nil {
 		return r.refusal(outcome.ReasonCallerGone, "the caller is gone")
 	}
 	refusal := outcome.Of(err)
-	if r.sent {
+	if r.maybeExecuted {
 		refusal.Outcome = outcome.Unknown
 	}
 	return refusal
 }
 
 func (r *callRun) refusal(reason outcome.Reason, message string) *outcome.Refusal {
-	if r.sent {
+	if r.maybeExecuted {
 		return outcome.UnknownError(reason, message)
 	}
 	return outcome.NotRunError(reason, message)
 }
 
-// callReason returns why a call failed.
+// callReason returns the reason under which the failure of a call is counted.
 func callReason(err error) outcome.Reason {
 	switch {
 	case errors.Is(err, service.ErrNotSent):
--- a/internal/dispatch/chat.go
+++ b/internal/dispatch/chat.go
@@ -18,16 +18,17 @@
 )
 
 const (
-	// maxAttempts bounds how often one request is sent for failures.
+	// maxAttempts limits the attempts per request, not counting preempted ones.
 	maxAttempts = 6
-	// hedgeSlack is after how many first-token targets a silent engine is
-	// doubted and a second one is asked as well.
-	hedgeSlack = 2
-	// backoffUnit is the mean wait before the second attempt.
-	backoffUnit = 10 * time.Millisecond
+	// hedgeFactor is the multiple of the first-token target after which a
+	// second engine is asked in parallel if the first has not responded.
+	hedgeFactor = 2
+	// backoffBase is the unit of the exponential backoff: after n attempts, the
+	// wait is uniformly distributed between zero and 2^(n+1) times backoffBase.
+	backoffBase = 10 * time.Millisecond
 )
 
-// chatRun is the progress of one chat request over its attempts.
+// chatRun holds the state of one chat request across its attempts.
 type chatRun struct {
 	d      *Dispatcher
 	chat   *Chat
@@ -35,42 +36,43 @@
 	budget *retrybudget.Budget
 	began  time.Time
 
-	// answer is what the caller has of the answer.
-	answer answer
-	// tokens counts the events with text that the caller has.
+	// response is the part of the response that the caller has received.
+	response response
+	// tokens counts the events with text that the caller has received.
 	tokens int
-	// attempts counts legs, the first included; preempted those of them that
-	// gave their place back.
+	// attempts counts all attempts, including the first, and preempted those of
+	// them whose reservation was revoked.
 	attempts, preempted int
 	// failed lists the endpoints that failed this request.
 	failed []table.EndpointName
-	// silent lists those of them that failed by silence only.
+	// silent lists those of the failed endpoints that failed only by not
+	// responding in time.
 	silent []table.EndpointName
-	// sent says that an engine may have executed the request.
-	sent bool
+	// maybeExecuted is set once an engine may have executed the request.
+	maybeExecuted bool
 }
 
 func newChatRun(d *Dispatcher, chat *Chat, sink Sink) *chatRun {
-	return &chatRun{d: d, chat: chat, sink: sink, budget: d.budgets.of(chat.Class.Name), began: d.clock.Now()}
+	return &chatRun{d: d, chat: chat, sink: sink, budget: d.budgets.forRequest(chat.Class.Name), began: d.clock.Now()}
 }
 
-// refusal returns the error of the whole run.
+// refusal returns the error with which the request ends.
 func (r *chatRun) refusal(reason outcome.Reason, message string) *outcome.Refusal {
-	if r.sent {
+	if r.maybeExecuted {
 		return outcome.UnknownError(reason, message)
 	}
 	return outcome.NotRunError(reason, message)
 }
 
-// do runs legs until one delivers the rest of the answer.
+// do makes attempts until one of them delivers the rest of the response.
 func (r *chatRun) do(ctx context.Context) error {
 	for {
 		if r.d.suspects.Kept(r.chat.Fingerprint) {
 			return r.refusal(outcome.ReasonQuarantined, quarantine.Message)
 		}
-		l, err := r.open(ctx)
+		a, err := r.startAttempts(ctx)
 		if err == nil {
-			err = r.deliver(l)
+			err = r.deliver(a)
 		}
 		if err == nil {
 			r.d.suspects.Completed(r.chat.Fingerprint)
@@ -79,17 +81,18 @@
 		if ctx.Err() != nil {
 			return err
 		}
-		if err := r.mayGoOn(ctx, err); err != nil {
+		if err := r.prepareRetry(ctx, err); err != nil {
 			return err
 		}
 	}
 }
 
-// mayGoOn decides whether another leg may follow a failure. If not, it
-// returns the refusal.
-func (r *chatRun) mayGoOn(ctx context.Context, err error) error {
+// prepareRetry decides whether the request may be retried after err. If so, it
+// counts the retry, waits for the backoff and returns nil, otherwise it returns
+// the refusal for the caller.
+func (r *chatRun) prepareRetry(ctx context.Context, err error) error {
 	if refusal, ok := errors.Into[*outcome.Refusal](err); ok {
-		if r.sent {
+		if r.maybeExecuted {
 			refusal.Outcome = outcome.Unknown
 		}
 		return refusal
@@ -98,12 +101,12 @@
 	switch {
 	case reason == outcome.ReasonCallerGone:
 		return r.refusal(reason, "the caller is gone")
-	case r.sent && !r.chat.Class.Idempotent:
+	case r.maybeExecuted && !r.chat.Class.Idempotent:
 		return r.refusal(reason, err.Error())
-	case !r.answer.resumable():
+	case !r.response.resumable():
 		return r.refusal(reason, "the answer broke off and can't be resumed: "+err.Error())
-	case free(reason):
-		r.count(reason)
+	case exemptFromBudget(reason):
+		r.countRetry(reason)
 		return nil
 	case r.attempts >= maxAttempts+r.preempted:
 		return r.refusal(reason, "every attempt failed: "+err.Error())
@@ -111,56 +114,57 @@
 		r.d.metrics.Inc("retryBudget.exhausted")
 		return r.refusal(outcome.ReasonRetryBudget, "too many requests of the class fail at the moment: "+err.Error())
 	}
-	r.count(reason)
+	r.countRetry(reason)
 	return r.backOff(ctx)
 }
 
-// count counts a further attempt.
-func (r *chatRun) count(reason outcome.Reason) {
+// countRetry counts a retry by its reason.
+func (r *chatRun) countRetry(reason outcome.Reason) {
 	r.d.metrics.Retried(reason)
-	if free(reason) {
+	if exemptFromBudget(reason) {
 		r.preempted++
 	}
-	if len(r.answer.text) > 0 {
+	if len(r.response.text) > 0 {
 		r.d.metrics.Inc("resumed." + string(reason))
 	}
 }
 
-// mayRepeat tells whether the request may be sent once more to the same engine,
+// mayRepeat reports whether the request may be sent again to the same engine
 // over a new connection.
 func (r *chatRun) mayRepeat() bool { return r.d.mayRepeat(r.budget) }
 
-// backOff waits with full jitter, so that requests that failed together do
-// not come back together.
+// backOff waits with full jitter, so that requests that failed at the same time
+// are not retried at the same time.
 func (r *chatRun) backOff(ctx context.Context) error {
-	most := 2 * backoffUnit << min(r.attempts, maxAttempts)
+	maxWait := 2 * backoffBase << min(r.attempts, maxAttempts)
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-r.d.clock.After(rand.N(most)):
+	case <-r.d.clock.After(rand.N(maxWait)):
 		return nil
 	}
 }
 
-// open starts a leg, and a second one if the first engine stays silent, and
-// returns the one that brings its first event. The others are given up.
-func (r *chatRun) open(ctx context.Context) (*leg, error) {
-	results := make(chan *leg, 2)
+// startAttempts starts an attempt, and a hedged one if the first engine does
+// not respond in time. It returns the attempt that receives an event first and
+// cancels the other. If all fail, it returns the last error.
+func (r *chatRun) startAttempts(ctx context.Context) (*attempt, error) {
+	results := make(chan *attempt, 2)
 	first := r.launch(ctx, results, slices.Clone(r.failed))
-	legs := []*leg{first}
-	sent := first.sent
+	attempts := []*attempt{first}
+	sent := first.sending
 	var hedge <-chan time.Time
 	var lastErr error
-	for open := 1; open > 0; {
+	for pending := 1; pending > 0; {
 		select {
-		case l := <-results:
-			open--
-			if l.err == nil {
-				r.giveUpOthers(l, legs, results, open)
-				return l, nil
+		case a := <-results:
+			pending--
+			if a.err == nil {
+				r.cancelOthers(a, attempts, results, pending)
+				return a, nil
 			}
-			r.note(l)
-			lastErr = l.err
+			r.recordFailure(a)
+			lastErr = a.err
 		case <-sent:
 			sent = nil
 			hedge = r.hedgeTimer()
@@ -171,81 +175,81 @@
 				continue
 			}
 			r.d.metrics.Inc("hedged")
-			legs = append(legs, r.launch(ctx, results, slices.Concat(r.failed, []table.EndpointName{first.endpoint()})))
-			open++
+			attempts = append(attempts, r.launch(ctx, results, slices.Concat(r.failed, []table.EndpointName{first.endpoint()})))
+			pending++
 		}
 	}
 	return nil, lastErr
 }
 
-// hedgeTimer returns a channel that tells when a second engine should be
-// asked, counted from now; nil if never.
+// hedgeTimer returns a channel that fires when a second engine should be asked,
+// counted from now. It is nil if the request must not be hedged.
 func (r *chatRun) hedgeTimer() <-chan time.Time {
 	target := r.chat.Class.Target.FirstToken.Std()
 	if target == 0 || !r.chat.Class.Idempotent {
 		return nil
 	}
-	return r.d.clock.After(hedgeSlack * target)
+	return r.d.clock.After(hedgeFactor * target)
 }
 
-// giveUpOthers cancels the legs that lost. Those that still come are released
-// when they do.
-func (r *chatRun) giveUpOthers(winner *leg, legs []*leg, results <-chan *leg, open int) {
-	for _, l := range legs {
-		if l != winner {
-			l.cancel(errLost)
+// cancelOthers cancels all attempts except the winner. Those that have not
+// reported a result yet are released when they do.
+func (r *chatRun) cancelOthers(winner *attempt, attempts []*attempt, results <-chan *attempt, pending int) {
+	for _, a := range attempts {
+		if a != winner {
+			a.cancel(errHedgeLost)
 		}
 	}
-	if open == 0 {
+	if pending == 0 {
 		return
 	}
 	go func() {
-		for range open {
-			if l := <-results; l.err == nil {
-				l.end(peerv1.ReleaseOutcome_RELEASE_OUTCOME_CALLER_GONE)
+		for range pending {
+			if a := <-results; a.err == nil {
+				a.finish(peerv1.ReleaseOutcome_RELEASE_OUTCOME_CALLER_GONE)
 				r.d.metrics.Inc("wasted.tokens.hedge")
 			}
 		}
 	}()
 }
 
-// note takes in how a leg failed.
-func (r *chatRun) note(l *leg) {
-	if l.grant == nil {
+// recordFailure records the failure of an attempt.
+func (r *chatRun) recordFailure(a *attempt) {
+	if a.grant == nil {
 		return
 	}
-	if l.mayHaveRun {
-		r.sent = true
-		// The leg's own context may have ended with it.
-		r.d.noteFailure(context.WithoutCancel(l.ctx), r.chat.Fingerprint, &l.grant.Endpoint, reasonOf(l.err))
+	if a.maybeExecuted {
+		r.maybeExecuted = true
+		// The attempt's own context may already be cancelled.
+		r.d.recordEndpointFailure(context.WithoutCancel(a.ctx), r.chat.Fingerprint, &a.grant.Endpoint, reasonOf(a.err))
 	}
-	if reasonOf(l.err) != outcome.ReasonPreempted {
-		r.failed = append(r.failed, l.endpoint())
+	if reasonOf(a.err) != outcome.ReasonPreempted {
+		r.failed = append(r.failed, a.endpoint())
 	}
-	if reasonOf(l.err) == outcome.ReasonSilent {
-		r.silent = append(r.silent, l.endpoint())
+	if reasonOf(a.err) == outcome.ReasonSilent {
+		r.silent = append(r.silent, a.endpoint())
 	}
 }
 
-// deliver passes the leg's events to the caller until the end marker.
-func (r *chatRun) deliver(l *leg) (err error) {
-	r.sent = true
+// deliver forwards the events of an attempt to the caller until the end marker.
+func (r *chatRun) deliver(a *attempt) (err error) {
+	r.maybeExecuted = true
 	defer func() {
-		l.err = err
+		a.err = err
 		if err != nil {
-			l.err = l.explain(err)
-			r.note(l)
-			err = l.err
+			a.err = a.failureCause(err)
+			r.recordFailure(a)
+			err = a.err
 		}
-		l.end(releaseOutcome(l.err))
+		a.finish(releaseOutcome(a.err))
 	}()
-	for data := l.first; ; {
-		if err := r.pass(l, data); err != nil {
+	for data := a.firstEvent; ; {
+		if err := r.forwardEvent(a, data); err != nil {
 			return err
 		}
-		data, err = l.stream.Next()
+		data, err = a.stream.Next()
 		if errors.Is(err, io.EOF) {
-			return r.answer.checkEnd()
+			return r.response.checkEnd()
 		}
 		if err != nil {
 			return err
@@ -253,27 +257,27 @@
 	}
 }
 
-// pass gives one event to the caller.
-func (r *chatRun) pass(l *leg, data []byte) error {
+// forwardEvent sends one event to the caller.
+func (r *chatRun) forwardEvent(a *attempt, data []byte) error {
 	chunk, err := engine.ParseChunk(data)
 	if err != nil {
 		return err
 	}
-	if err := l.checkID(&chunk); err != nil {
+	if err := a.checkID(&chunk); err != nil {
 		return err
 	}
-	if l.resumes {
-		if data, err = r.answer.rewrite(data, &chunk); err != nil {
+	if a.resumes {
+		if data, err = r.response.rewrite(data, &chunk); err != nil {
 			return err
 		}
 	}
 	if err := r.sink(data, &chunk); err != nil {
-		return errors.Wrap(errCallerGone, err.Error())
+		return errors.Wrap(errCallerDisconnected, err.Error())
 	}
-	if r.answer.add(&chunk) {
+	if r.response.add(&chunk) {
 		r.tokens++
-		l.tokens++
-		l.grant.Token()
+		a.tokens++
+		a.grant.Token()
 	}
 	return nil
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,6 +1,6 @@
-// Package dispatch runs a request: it admits it by its limits, reserves a
-// place, sends it to the endpoint, and retries, hedges or resumes where that
-// is allowed. The rules are weighed in docs/design/retries.md.
+// Package dispatch executes requests: it applies admission limits, reserves a
+// slot on an endpoint, sends the request, and retries, hedges or resumes it
+// where that is allowed. docs/design/retries.md explains the rules.
 package dispatch
 
 import (
@@ -20,7 +20,7 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// Dispatcher runs requests. It is safe for concurrent use.
+// Dispatcher executes requests. It is safe for concurrent use.
 type Dispatcher struct {
 	clock    clockwork.Clock
 	limits   *limit.Keeper
@@ -49,26 +49,27 @@
 // Chat is one chat request.
 type Chat struct {
 	ID string
-	// Fingerprint is the same for all attempts of a caller at one request.
+	// Fingerprint identifies the request. It is the same each time a caller
+	// repeats the request.
 	Fingerprint quarantine.Fingerprint
 
 	Account table.AccountName
 	Class   *table.Class
 	Pool    table.Pool
-	// Fields are the members of the caller's JSON body.
+	// Fields holds the top-level fields of the caller's JSON body.
 	Fields map[string]json.RawMessage
-	// PromptTokens is an estimate.
+	// PromptTokens is the estimated length of the prompt.
 	PromptTokens int
 	// Prefix is a hash of the start of the prompt.
 	Prefix uint64
 }
 
-// Sink takes one event of the answer and what was read of it, both valid
-// during the call only. An error means that the caller is gone.
+// Sink receives one event of the response, both raw and parsed. They are valid
+// only during the call. An error means that the caller has disconnected.
 type Sink func(data []byte, chunk *engine.Chunk) error
 
-// Chat runs a chat request and gives its answer to the sink. The error is a
-// refusal.
+// Chat executes a chat request and passes the events of its response to sink. A
+// returned error is an *outcome.Refusal.
 func (d *Dispatcher) Chat(ctx context.Context, chat *Chat, sink Sink) error {
 	done, err := d.limits.Admit(ctx, chat.Class, chat.Account)
 	if err != nil {
@@ -84,38 +85,40 @@
 	return err
 }
 
-// Progress deadlines. A late answer is worth more than one that is begun
-// anew, so they exceed the latency targets by far.
+// Progress deadlines. They are large multiples of the latency targets, because
+// a late response is worth more than one that is started over.
 const (
-	firstTokenSlack    = 6
-	minFirstToken      = 5 * time.Second
-	defaultFirstToken  = 30 * time.Second
-	betweenTokensSlack = 10
-	minBetweenTokens   = 2 * time.Second
-	defaultBetween     = 10 * time.Second
-	wholeAnswerSlack   = 10
-	// defaultCall bounds a call to a plain service without a target.
-	defaultCall = time.Minute
+	firstTokenFactor             = 6
+	minFirstTokenDeadline        = 5 * time.Second
+	defaultFirstTokenDeadline    = 30 * time.Second
+	betweenTokensFactor          = 10
+	minBetweenTokensDeadline     = 2 * time.Second
+	defaultBetweenTokensDeadline = 10 * time.Second
+	wholeAnswerFactor            = 10
+	// defaultCallDeadline applies to plain services whose class has no target.
+	defaultCallDeadline = time.Minute
 )
 
-// firstTokenDeadline is how long an engine may take to begin an answer.
+// firstTokenDeadline returns how long an engine may take to start a response.
 func firstTokenDeadline(t table.Target) time.Duration {
-	return progress(t.FirstToken, firstTokenSlack, minFirstToken, defaultFirstToken)
+	return progressDeadline(t.FirstToken, firstTokenFactor, minFirstTokenDeadline, defaultFirstTokenDeadline)
 }
 
-// betweenDeadline is how long an engine may pause within an answer.
-func betweenDeadline(t table.Target) time.Duration {
-	return progress(t.BetweenTokens, betweenTokensSlack, minBetweenTokens, defaultBetween)
+// betweenTokensDeadline returns how long an engine may pause within a response.
+func betweenTokensDeadline(t table.Target) time.Duration {
+	return progressDeadline(t.BetweenTokens, betweenTokensFactor, minBetweenTokensDeadline, defaultBetweenTokensDeadline)
 }
 
-// callDeadline bounds a call of a plain service.
+// callDeadline returns the timeout of a call to a plain service.
 func callDeadline(t table.Target) time.Duration {
-	return progress(t.WholeAnswer, wholeAnswerSlack, 0, defaultCall)
+	return progressDeadline(t.WholeAnswer, wholeAnswerFactor, 0, defaultCallDeadline)
 }
 
-func progress(target table.Duration, slack int, least, otherwise time.Duration) time.Duration {
+// progressDeadline returns factor times the latency target, but at least
+// minimum. Without a target it returns fallback.
+func progressDeadline(target table.Duration, factor int, minimum, fallback time.Duration) time.Duration {
 	if target == 0 {
-		return otherwise
+		return fallback
 	}
-	return max(time.Duration(slack)*target.Std(), least)
+	return max(time.Duration(factor)*target.Std(), minimum)
 }
--- a/internal/dispatch/fault_test.go
+++ b/internal/dispatch/fault_test.go
@@ -18,17 +18,18 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// faultCase is a chat request to a site whose engines have faults.
+// faultCase is a chat request to a site with faulty engines.
 type faultCase struct {
 	Name    string                 `json:"name"`
 	Class   string                 `json:"class"`
 	Engines []standin.EngineFaults `json:"engines"`
-	// Whole says that the caller gets the whole answer.
+	// Whole is set if the caller must receive the complete response.
 	Whole bool `json:"whole"`
-	// Outcome and Code are what a refusal or a broken stream says.
+	// Outcome and Code are expected in the refusal or the broken stream.
 	Outcome string `json:"outcome"`
 	Code    string `json:"code"`
-	// MostRuns bounds how many engines may see the request; zero does not.
+	// MostRuns limits how many engines may receive the request; zero means no
+	// limit.
 	MostRuns int `json:"mostRuns"`
 }
 
@@ -49,8 +50,9 @@
 	return s
 }
 
-// addClasses adds a class with a short target, so that silent engines are
-// doubted soon, and one whose requests may be executed once only.
+// addClasses adds a class with a short latency target, so that requests to
+// unresponsive engines are hedged early, and a class whose requests must not be
+// executed more than once.
 func addClasses(t *table.Table) {
 	pools := []table.Pool{standin.SampleModel}
 	wait := table.Duration(time.Minute)
@@ -61,30 +63,32 @@
 	t.Accounts[0].Classes = append(t.Accounts[0].Classes, "quick", "once")
 }
 
-// reply is what a caller gets.
+// reply is the result of a request as its caller sees it.
 type reply struct {
 	text    string
-	ended   bool
+	done    bool
 	outcome string
 	code    string
 }
 
-// patience is how long a caller waits. No check depends on it.
-const patience = 20 * time.Second
+// callerTimeout is how long a caller waits for its response. No check depends
+// on it.
+const callerTimeout = 20 * time.Second
 
-func ask(t *testing.T, s *standin.Site, class, prompt string) reply {
+func sendChat(t *testing.T, s *standin.Site, class, prompt string) reply {
 	t.Helper()
-	r, err := askFor(t, patience, s, class, prompt)
+	r, err := sendChatWithTimeout(t, callerTimeout, s, class, prompt)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-// askFor is ask by a caller that gives up; the error says that it did.
-func askFor(t *testing.T, patience time.Duration, s *standin.Site, class, prompt string) (reply, error) {
+// sendChatWithTimeout is sendChat with a timeout, after which it returns an
+// error.
+func sendChatWithTimeout(t *testing.T, timeout time.Duration, s *standin.Site, class, prompt string) (reply, error) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), timeout)
 	defer cancel()
 	url := "http://" + s.Settings[0].CallerAddress + engine.PathChat
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(standin.ChatBody(string(standin.SampleModel), prompt, true)))
@@ -117,7 +121,7 @@
 		switch code := errorCode([]byte(event)); {
 		case !ok:
 		case event == "[DONE]":
-			r.ended = true
+			r.done = true
 		case code != "":
 			r.code = code
 		default:
@@ -141,9 +145,10 @@
 	return body.Error.Code
 }
 
-// Engines fail at any point of an answer. The caller gets one whole answer if
-// the class allows another attempt, and otherwise an explicit end that says
-// what is known of the execution.
+// Guards against incomplete responses and silent failures when engines fail at
+// any stage of a response. The caller must receive one complete response if the
+// class allows another attempt, and otherwise an explicit error that says
+// whether the request was executed, as far as this is known.
 func TestEngineFaults(t *testing.T) {
 	data, err := os.ReadFile("testdata/faults.json")
 	if err != nil {
@@ -171,27 +176,28 @@
 		class = "quick"
 	}
 	const prompt = "Which slots are open? [[tokens=20]]"
-	r := ask(t, s, class, prompt)
+	r := sendChat(t, s, class, prompt)
 	runs := 0
 	for _, e := range s.Engines {
 		runs += e.Stats().Requests
 	}
 	if c.MostRuns > 0 && runs > c.MostRuns {
-		t.Errorf("%d engines saw the request", runs)
+		t.Errorf("%d engines received the request", runs)
 	}
 	if c.Whole {
-		if want := strings.Join(standin.Answer(prompt), ""); r.text != want || !r.ended || r.outcome != "done" {
+		if want := strings.Join(standin.Answer(prompt), ""); r.text != want || !r.done || r.outcome != "done" {
 			t.Errorf("got %+v, want the text %q", r, want)
 		}
 		return
 	}
-	if r.ended || r.outcome != c.Outcome || (c.Code != "" && r.code != c.Code) {
+	if r.done || r.outcome != c.Outcome || (c.Code != "" && r.code != c.Code) {
 		t.Errorf("got %+v", r)
 	}
 }
 
-// counted returns the sum of a daemon's counters whose names begin so.
-func counted(t *testing.T, s *standin.Site, prefix string) int {
+// counterSum returns the sum of the daemon's counters whose names begin with
+// prefix.
+func counterSum(t *testing.T, s *standin.Site, prefix string) int {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodGet, "http://"+s.Settings[0].OperatorAddress+"/metrics", nil)
 	if err != nil {
@@ -218,41 +224,42 @@
 	return sum
 }
 
-// Every engine fails for a while, and callers go on asking. What the engines
-// see is at most a tenth more than what callers sent, so that the retries do
-// not keep them down. Many callers give up before their request is sent, which
-// hides repeats; so what was repeated is bounded by itself as well.
+// Guards against retries that keep failing engines overloaded. While every
+// engine fails and callers keep sending, the engines may receive at most 10%
+// more requests than the callers sent. Many callers give up before their
+// request is sent, which hides retries, so the number of retries is limited
+// separately as well.
 func TestTotalOutageIsNotAmplified(t *testing.T) {
 	const (
-		requests = 600
-		givesUp  = 200 * time.Millisecond
+		requests    = 600
+		giveUpAfter = 200 * time.Millisecond
 	)
 	s := startSite(t, 4)
 	for _, e := range s.Engines {
 		e.SetFaults(standin.EngineFaults{Garbage: true})
 	}
 	var wg sync.WaitGroup
-	gate := make(chan struct{}, 50)
+	semaphore := make(chan struct{}, 50)
 	for range requests {
-		gate <- struct{}{}
+		semaphore <- struct{}{}
 		wg.Go(func() {
-			defer func() { <-gate }()
-			if r, _ := askFor(t, givesUp, s, "quick", "Which slots are open?"); r.ended {
+			defer func() { <-semaphore }()
+			if r, _ := sendChatWithTimeout(t, giveUpAfter, s, "quick", "Which slots are open?"); r.done {
 				t.Errorf("got %+v", r)
 			}
 		})
 	}
 	wg.Wait()
-	seen := 0
+	received := 0
 	for _, e := range s.Engines {
-		seen += e.Stats().Requests
+		received += e.Stats().Requests
 	}
-	repeated := counted(t, s, "retried.") + counted(t, s, "hedged")
-	t.Logf("engines saw %d of %d requests, %d repeated", seen, requests, repeated)
-	if repeated > requests/10 {
-		t.Errorf("%d of %d requests were repeated", repeated, requests)
+	retried := counterSum(t, s, "retried.") + counterSum(t, s, "hedged")
+	t.Logf("engines received %d of %d requests, %d retried", received, requests, retried)
+	if retried > requests/10 {
+		t.Errorf("%d of %d requests were retried", retried, requests)
 	}
-	if seen > requests*11/10 {
-		t.Errorf("engines saw %d requests, callers sent %d", seen, requests)
+	if received > requests*11/10 {
+		t.Errorf("engines received %d requests, callers sent %d", received, requests)
 	}
 }
--- a/internal/dispatch/suspect.go
+++ b/internal/dispatch/suspect.go
@@ -9,9 +9,10 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// noteFailure takes in that an endpoint that may have run a request failed it.
-// If it has ended, and not only the connection, the request is suspect.
-func (d *Dispatcher) noteFailure(ctx context.Context, f quarantine.Fingerprint, e *table.Endpoint, reason outcome.Reason) {
+// recordEndpointFailure handles the failure of a request at an endpoint that
+// may have executed it. If the endpoint itself has terminated, and not only the
+// connection, the request is recorded as a suspect for quarantine.
+func (d *Dispatcher) recordEndpointFailure(ctx context.Context, f quarantine.Fingerprint, e *table.Endpoint, reason outcome.Reason) {
 	switch reason {
 	case outcome.ReasonCallerGone, outcome.ReasonPreempted, outcome.ReasonSilent, outcome.ReasonEndpointRefused:
 		return
--- a/internal/dispatch/suspect_test.go
+++ b/internal/dispatch/suspect_test.go
@@ -6,31 +6,31 @@
 	"github.com/beechhead/beechhead/internal/standin"
 )
 
-// Guards against a request being sent on, or repeated by the daemon itself,
-// after three engines have ended under it.
-func TestRequestThatEndsEnginesIsKeptBack(t *testing.T) {
-	const ending = "the engine ends"
+// Guards against sending or retrying a request after three engines have
+// terminated while processing it.
+func TestRequestThatTerminatesEnginesIsQuarantined(t *testing.T) {
+	const fatalPrompt = "the engine ends"
 	s := startSite(t, 6)
 	for _, e := range s.Engines {
-		e.SetFaults(standin.EngineFaults{EndsOn: ending})
+		e.SetFaults(standin.EngineFaults{EndsOn: fatalPrompt})
 	}
 	for range 4 {
-		if got := ask(t, s, "quick", ending); got.ended {
-			t.Fatal("a request that ends engines was answered")
+		if got := sendChat(t, s, "quick", fatalPrompt); got.done {
+			t.Fatal("a request that terminates engines was answered")
 		}
 	}
-	got := ask(t, s, "quick", ending)
+	got := sendChat(t, s, "quick", fatalPrompt)
 	if got.code != "quarantined" || got.outcome != "notRun" {
-		t.Errorf("the caller gets code %q with outcome %q", got.code, got.outcome)
+		t.Errorf("got code %q with outcome %q, want quarantined with notRun", got.code, got.outcome)
 	}
-	ran := 0
+	received := 0
 	for _, e := range s.Engines {
-		ran += e.Stats().Requests
+		received += e.Stats().Requests
 	}
-	if ran != 3 {
-		t.Errorf("%d engines have ended, want 3", ran)
+	if received != 3 {
+		t.Errorf("%d engines received the request and terminated, want 3", received)
 	}
-	if got := ask(t, s, "quick", "another request"); !got.ended {
-		t.Errorf("another request ends with code %q", got.code)
+	if got := sendChat(t, s, "quick", "another request"); !got.done {
+		t.Errorf("another request failed with code %q", got.code)
 	}
 }
--- a/internal/endpoint/ended.go
+++ b/internal/endpoint/probe.go
@@ -10,19 +10,20 @@
 	"github.com/go-faster/errors"
 )
 
-// endedTimeout bounds the question whether an endpoint has ended.
-const endedTimeout = 300 * time.Millisecond
+// probeTimeout limits the connection attempt with which Ended probes an
+// address.
+const probeTimeout = 300 * time.Millisecond
 
-// Refused tells whether an error says that nobody listens at an address.
+// Refused reports whether err means that nothing listens at an address.
 func Refused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// Ended tells whether nobody listens any longer at the address of a URL.
+// Ended reports whether nothing listens any longer at the address of a URL.
 func Ended(ctx context.Context, rawURL string) bool {
 	u, err := url.Parse(rawURL)
 	if err != nil {
 		return false
 	}
-	dialer := net.Dialer{Timeout: endedTimeout}
+	dialer := net.Dialer{Timeout: probeTimeout}
 	c, err := dialer.DialContext(ctx, "tcp", u.Host)
 	if err != nil {
 		return Refused(err)
--- a/internal/endpoint/sender.go
+++ b/internal/endpoint/sender.go
@@ -16,35 +16,36 @@
 	"github.com/go-faster/errors"
 )
 
-// ErrNotSent says that no byte of the request was written to the endpoint.
+// ErrNotSent means that no byte of the request was written to the endpoint.
 var ErrNotSent = errors.New("not sent")
 
 // ErrSilent is the cause with which a context is cancelled when a progress
-// deadline has passed.
+// deadline expires.
 var ErrSilent = errors.New("silent beyond the progress deadline")
 
-// maxConnections bounds how many dead connections one request may come upon.
-const maxConnections = 4
+// maxConnAttempts limits how many connections are tried for one request if they
+// turn out to be lost.
+const maxConnAttempts = 4
 
-// Request is what is sent.
+// Request is an HTTP request to an endpoint.
 type Request struct {
 	Method string
 	URL    string
-	// Header is sent as it is; the sender does not change it.
+	// Header is sent as it is and not modified.
 	Header http.Header
 	Body   []byte
-	// Pooled requests may go over reused connections. Others get a new one:
-	// an endpoint that closes an idle connection at the moment when a request
-	// is written to it leaves the request's outcome open.
+	// Pooled allows the request to use an idle connection. Otherwise a new one
+	// is opened: if an endpoint closes an idle connection just when a request
+	// is written to it, it is unknown whether the request was executed.
 	Pooled bool
-	// Repeatable requests may be sent twice: once more over a new connection
-	// when a reused one dies or is silent before the answer.
+	// Repeatable allows the request to be sent twice: once more over a new
+	// connection if a reused one is lost or stalls before the response.
 	Repeatable bool
-	// MayRepeat is asked before that, so that a budget can bound it; nil
-	// always allows it.
+	// MayRepeat is called before such a repeat, so that a budget can limit
+	// repeats. If nil, a repeat is always allowed.
 	MayRepeat func() bool
-	// FirstByte bounds the time until the answer begins on one connection;
-	// zero is unbounded.
+	// FirstByte limits the time until the response begins on one connection;
+	// zero means no limit.
 	FirstByte time.Duration
 }
 
@@ -53,19 +54,19 @@
 	*http.Response
 	conn   *conn
 	sender *Sender
-	// cancel ends what is left of the exchange.
+	// cancel ends the remainder of the exchange.
 	cancel context.CancelCauseFunc
 }
 
-// Close ends the answer. Its connection is used again if the body was read
-// whole.
+// Close closes the response. Its connection is reused if the body was read
+// completely.
 func (a *Answer) Close() {
 	_ = a.Body.Close()
 	a.cancel(nil)
 }
 
-// Suspect says that nothing came on the answer's connection for too long. It
-// is closed, and with it the idle ones to the same address.
+// Suspect discards a response whose connection has stalled, and closes the idle
+// connections to the same address as well.
 func (a *Answer) Suspect() {
 	a.Discard()
 	if a.conn != nil {
@@ -73,60 +74,62 @@
 	}
 }
 
-// Discard closes the answer and its connection, which must not serve another
-// request, for example because it carried somebody else's answer.
+// Discard closes the response and its connection. It is for connections that
+// must not be reused, for example because they carried the response to another
+// request.
 func (a *Answer) Discard() {
 	a.Close()
 	if a.conn != nil {
-		a.conn.seal()
+		a.conn.blockWrites()
 		_ = a.conn.Close()
 	}
 }
 
-// Sender sends requests, each at most once. It is safe for concurrent use.
+// Sender sends requests, each at most once unless it is repeatable. It is safe
+// for concurrent use.
 //
-// net/http's transport repeats a request by itself when a reused connection
-// dies, if its body can be rewound and either its method is idempotent or it
-// carries an Idempotency-Key. The sender gives each request a body that can't
-// be rewound, also when it is empty; where an empty body would change the
-// request on the wire, it uses a new connection, which is never retried.
+// The transport of net/http repeats a request on its own when a reused
+// connection is lost, if the body can be rewound and either the method is
+// idempotent or the request carries an Idempotency-Key. The sender therefore
+// gives each request a body that can't be rewound, even if it is empty. Where
+// an empty body would change the request on the wire, it uses a new connection,
+// on which net/http never retries.
 type Sender struct {
 	pooled *http.Transport
-	// fresh uses each connection once.
-	fresh *http.Transport
+	// singleUse opens a new connection for each request.
+	singleUse *http.Transport
 
 	mu sync.Mutex
-	// open has the connections in use or idle by remote address.
-	open map[string]map[*conn]struct{}
+	// conns holds the connections in use or idle by remote address.
+	conns map[string]map[*conn]struct{}
 }
 
 // NewSender returns a sender.
 func NewSender(transport *http.Transport) *Sender {
-	fresh := transport.Clone()
-	fresh.DisableKeepAlives = true
-	return &Sender{pooled: transport, fresh: fresh, open: map[string]map[*conn]struct{}{}}
+	singleUse := transport.Clone()
+	singleUse.DisableKeepAlives = true
+	return &Sender{pooled: transport, singleUse: singleUse, conns: map[string]map[*conn]struct{}{}}
 }
 
-// Send sends a request. It goes to another connection only while it is
-// certain that no byte was written, or if the request is repeatable. An error
-// that is not ErrNotSent leaves open whether the endpoint has seen it.
+// Send sends a request. It tries another connection only if certainly no byte
+// was written, or if the request is repeatable. After an error other than
+// ErrNotSent the endpoint may have received the request.
 func (s *Sender) Send(ctx context.Context, r Request) (a *Answer, err error) {
-	transport := s.fresh
+	transport := s.singleUse
 	if r.Pooled && (len(r.Body) > 0 || usuallyLacksBody(r.Method)) {
 		transport = s.pooled
 	}
-	for range maxConnections {
-		var t *tracker
+	for range maxConnAttempts {
+		var t *connTracker
 		a, t, err = s.try(ctx, r, transport)
 		switch {
 		case err == nil || ctx.Err() != nil:
 			return a, err
 		case errors.Is(err, errUnusedConn):
 		case r.Repeatable && t.reused && !errors.Is(err, ErrNotSent) && r.mayRepeat():
-			// The suspect connection is replaced before the endpoint itself is
-			// suspected.
+			// Rule out a faulty connection before blaming the endpoint.
 			r.Repeatable = false
-			transport = s.fresh
+			transport = s.singleUse
 		default:
 			return nil, err
 		}
@@ -136,14 +139,15 @@
 
 func (r *Request) mayRepeat() bool { return r.MayRepeat == nil || r.MayRepeat() }
 
-// errUnusedConn is ErrNotSent on a connection that died before the request.
+// errUnusedConn is the ErrNotSent of a connection that was lost before the
+// request was written.
 var errUnusedConn = errors.Wrap(ErrNotSent, "the connection died before the request")
 
 // try sends a request over one connection.
-func (s *Sender) try(ctx context.Context, r Request, transport *http.Transport) (*Answer, *tracker, error) {
-	t := &tracker{sender: s}
+func (s *Sender) try(ctx context.Context, r Request, transport *http.Transport) (*Answer, *connTracker, error) {
+	t := &connTracker{sender: s}
 	ctx, cancel := context.WithCancelCause(ctx)
-	stop := afterSilence(r.FirstByte, cancel)
+	stop := startTimeout(r.FirstByte, cancel)
 	resp, err := s.roundTrip(ctx, r, transport, t)
 	if inTime := stop(); err == nil && inTime {
 		return &Answer{Response: resp, conn: t.conn, sender: s, cancel: cancel}, t, nil
@@ -152,39 +156,41 @@
 		_ = resp.Body.Close()
 		err = ErrSilent
 	}
-	err = t.failed(err)
+	err = t.classifyError(err)
 	if errors.Is(context.Cause(ctx), ErrSilent) && !errors.Is(err, ErrNotSent) {
 		err = errors.Wrap(ErrSilent, err.Error())
-		t.suspect()
+		t.closeIdle()
 	}
 	cancel(nil)
 	return nil, t, err
 }
 
-// afterSilence cancels with ErrSilent after d, unless it is stopped in time.
-func afterSilence(d time.Duration, cancel context.CancelCauseFunc) (stop func() bool) {
+// startTimeout cancels with ErrSilent after d unless it is stopped before; zero
+// means never. The returned function reports whether it stopped the timeout in
+// time.
+func startTimeout(d time.Duration, cancel context.CancelCauseFunc) (stop func() bool) {
 	if d == 0 {
 		return func() bool { return true }
 	}
 	return time.AfterFunc(d, func() { cancel(ErrSilent) }).Stop
 }
 
-func (s *Sender) roundTrip(ctx context.Context, r Request, transport *http.Transport, t *tracker) (*http.Response, error) {
+func (s *Sender) roundTrip(ctx context.Context, r Request, transport *http.Transport, t *connTracker) (*http.Response, error) {
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: t.gotConn, PutIdleConn: t.putIdle})
 	req, err := http.NewRequestWithContext(ctx, r.Method, r.URL, nil)
 	if err != nil {
 		return nil, err
 	}
-	keepTarget(req.URL, r.URL)
+	preserveTarget(req.URL, r.URL)
 	req.Header = r.Header.Clone()
 	setBody(req, r.Body)
 	return transport.RoundTrip(req)
 }
 
-// setBody sets a body that the transport can't rewind. It reads ahead in an
-// empty one and, for methods that usually lack a body, then sends none. For
-// the others it would send an empty body in chunks, so they get no body, and
-// for that reason never a reused connection.
+// setBody sets a body that the transport can't rewind. For methods that usually
+// have no body, the transport reads ahead and sends none if the body is empty.
+// For other methods it would send an empty body in chunked encoding, so they
+// get no body, and for that reason never a reused connection.
 func setBody(req *http.Request, body []byte) {
 	if len(body) == 0 && !usuallyLacksBody(req.Method) {
 		return
@@ -193,9 +199,9 @@
 	req.ContentLength = int64(len(body))
 }
 
-// usuallyLacksBody tells for which methods the transport reads a body of
-// unknown length ahead and, if it is empty, sends the request without a body.
-// For the others it would send an empty body in chunks.
+// usuallyLacksBody reports whether the transport reads ahead in a body of
+// unknown length for this method and, if it is empty, sends the request without
+// a body. For other methods it would send an empty body in chunked encoding.
 func usuallyLacksBody(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodDelete, http.MethodOptions:
@@ -204,12 +210,12 @@
 	return false
 }
 
-// closeIdle closes the idle connections to an address. A path that loses one
-// connection often loses its neighbours; new connections tell whether the
-// endpoint itself is gone.
+// closeIdle closes the idle connections to an address. When the network drops
+// one connection, others to the same address are often affected. New
+// connections show whether the endpoint itself is down.
 func (s *Sender) closeIdle(address string) {
 	s.mu.Lock()
-	conns := slices.Collect(maps.Keys(s.open[address]))
+	conns := slices.Collect(maps.Keys(s.conns[address]))
 	s.mu.Unlock()
 	for _, c := range conns {
 		c.closeIfIdle()
@@ -220,53 +226,55 @@
 	address := c.RemoteAddr().String()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.open[address] == nil {
-		s.open[address] = map[*conn]struct{}{}
+	if s.conns[address] == nil {
+		s.conns[address] = map[*conn]struct{}{}
 	}
-	s.open[address][c] = struct{}{}
+	s.conns[address][c] = struct{}{}
 }
 
 func (s *Sender) remove(c *conn) {
 	address := c.RemoteAddr().String()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.open[address], c)
-	if len(s.open[address]) == 0 {
-		delete(s.open, address)
+	delete(s.conns[address], c)
+	if len(s.conns[address]) == 0 {
+		delete(s.conns, address)
 	}
 }
 
-// tracker follows one request to its connection.
-type tracker struct {
-	sender *Sender
-	got    bool
-	reused bool
-	conn   *conn
-	// use is which use of the connection the request is.
+// connTracker records which connection a request uses.
+type connTracker struct {
+	sender  *Sender
+	hasConn bool
+	reused  bool
+	conn    *conn
+	// use is the sequence number of the request on its connection.
 	use int
-	// before counts the writes on the connection before the request.
-	before int
+	// writesBefore counts the writes on the connection before the request.
+	writesBefore int
 }
 
-func (t *tracker) gotConn(info httptrace.GotConnInfo) {
-	t.got = true
+func (t *connTracker) gotConn(info httptrace.GotConnInfo) {
+	t.hasConn = true
 	t.reused = info.Reused
-	c := countingConn(info.Conn)
+	c := unwrapConn(info.Conn)
 	if c == nil {
 		return
 	}
 	t.conn = c
-	t.use, t.before = c.take(func() { t.sender.remove(c) })
+	t.use, t.writesBefore = c.acquire(func() { t.sender.remove(c) })
 	t.sender.add(c)
 }
 
-func (t *tracker) putIdle(err error) {
+func (t *connTracker) putIdle(err error) {
 	if err == nil && t.conn != nil {
 		t.conn.release(t.use)
 	}
 }
 
-func countingConn(c net.Conn) *conn {
+// unwrapConn returns the conn below a connection of the transport, or nil if
+// there is none. A TLS connection wraps it.
+func unwrapConn(c net.Conn) *conn {
 	if secure, ok := c.(*tls.Conn); ok {
 		c = secure.NetConn()
 	}
@@ -274,25 +282,27 @@
 	return counting
 }
 
-// suspect closes the idle connections to where the request's own led.
-func (t *tracker) suspect() {
+// closeIdle closes the idle connections to the address that the request was
+// sent to.
+func (t *connTracker) closeIdle() {
 	if t.conn != nil {
 		t.sender.closeIdle(t.conn.RemoteAddr().String())
 	}
 }
 
-// failed tells what a failed request has done. Without a connection, nothing
-// was written; on a connection that does not count, something may have been.
-func (t *tracker) failed(err error) error {
-	if !t.got {
+// classifyError returns an ErrNotSent for a failed request of which nothing was
+// written. That is certain if there was no connection. If the connection does
+// not count its writes, something may have been written.
+func (t *connTracker) classifyError(err error) error {
+	if !t.hasConn {
 		return errors.Wrap(ErrNotSent, err.Error())
 	}
 	if t.conn == nil {
 		return err
 	}
-	writes := t.conn.seal()
+	writes := t.conn.blockWrites()
 	_ = t.conn.Close()
-	if writes == t.before {
+	if writes == t.writesBefore {
 		return errors.Wrap(errUnusedConn, err.Error())
 	}
 	return err
--- a/internal/endpoint/sender_test.go
+++ b/internal/endpoint/sender_test.go
@@ -34,9 +34,10 @@
 	return err
 }
 
-// A booking with an Idempotency-Key is executed, and its reused connection
-// drops before the answer. net/http alone repeats it on a new connection: the
-// booking runs twice. This shows that the fault tests would see the fault.
+// Shows that the fault which Sender prevents can be provoked, so that the tests
+// for it are meaningful: net/http repeats a request with an Idempotency-Key
+// over a new connection when its reused connection drops before the response,
+// and the request is executed twice.
 func TestPlainClientRepeats(t *testing.T) {
 	b := newBreaking(t)
 	client := &http.Client{Transport: endpoint.NewTransport()}
@@ -55,19 +56,19 @@
 	b.SetPoint(standin.BreakAfterBody)
 	post()
 	if n, _ := b.Counts(); n != 3 {
-		t.Errorf("executed %d times, want 3: the fault is not brought about", n)
+		t.Errorf("executed %d times, want 3: the fault was not provoked", n)
 	}
 }
 
-// The path to an endpoint loses track of its open connections while new ones
-// work. The first request that finds one silent replaces the idle others too,
-// so that the next request does not wait for the same deadline again.
+// Guards against waiting for the same deadline on one stalled connection after
+// the other when the network has lost track of all open connections to an
+// endpoint. The first request that stalls must close the idle ones too.
 func TestSilenceReplacesIdleConnections(t *testing.T) {
 	b := newBreaking(t)
 	sender := endpoint.NewSender(endpoint.NewTransport())
 	b.SetPoint(standin.SilentAfterBody)
-	// Two connections are open at once: the second request finds the first
-	// one's connection busy.
+	// Open two connections at once: the second request can't use the first
+	// one's connection, which is busy.
 	ctx, cancel := context.WithCancelCause(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- send(ctx, sender, b.URL()) }()
@@ -80,17 +81,18 @@
 	}
 	cancel(endpoint.ErrSilent)
 	if err := <-ended; err == nil || errors.Is(err, endpoint.ErrNotSent) {
-		t.Errorf("silent request: %v", err)
+		t.Errorf("stalled request: %v", err)
 	}
 	if err := send(t.Context(), sender, b.URL()); err != nil {
 		t.Fatal(err)
 	}
 	if _, connections := b.Counts(); connections != 3 {
-		t.Errorf("%d connections, want the idle one replaced", connections)
+		t.Errorf("%d connections, want 3 with the idle one replaced", connections)
 	}
 }
 
-// A caller hangs up. Idle connections to the endpoint are not suspect.
+// Guards against closing the idle connections to an endpoint because a caller
+// has disconnected.
 func TestCallerGoneKeepsIdleConnections(t *testing.T) {
 	b := newBreaking(t)
 	sender := endpoint.NewSender(endpoint.NewTransport())
@@ -107,12 +109,12 @@
 	}
 	cancel()
 	if err := <-ended; err == nil {
-		t.Error("the caller that hung up got an answer")
+		t.Error("the caller that disconnected got an answer")
 	}
 	if err := send(t.Context(), sender, b.URL()); err != nil {
 		t.Fatal(err)
 	}
 	if _, connections := b.Counts(); connections != 2 {
-		t.Errorf("%d connections, want the idle one kept", connections)
+		t.Errorf("%d connections, want 2 with the idle one kept", connections)
 	}
 }
--- a/internal/endpoint/transport.go
+++ b/internal/endpoint/transport.go
@@ -1,6 +1,6 @@
-// Package endpoint sends HTTP requests to endpoints: each at most once, with
-// certainty about whether a byte of it was written, and over connections that
-// are watched for silence.
+// Package endpoint sends HTTP requests to endpoints. It sends each request at
+// most once unless told otherwise, knows whether any byte of it was written,
+// and detects stalled connections.
 package endpoint
 
 import (
@@ -14,25 +14,26 @@
 	"github.com/go-faster/errors"
 )
 
-// Timings of the connections to endpoints.
+// Timeouts and sizes of the connections to endpoints.
 const (
 	dialTimeout = time.Second
 	idleTimeout = 30 * time.Second
-	// Keepalives find an idle connection that the network has lost track of
-	// within keepAliveIdle + keepAliveCount*keepAliveInterval.
+	// TCP keep-alives detect an idle connection that the network has lost track
+	// of within keepAliveIdle + keepAliveCount*keepAliveInterval.
 	keepAliveIdle     = 5 * time.Second
 	keepAliveInterval = 2 * time.Second
 	keepAliveCount    = 3
-	// userTimeout ends a connection whose sent bytes nobody acknowledges.
+	// userTimeout closes a connection whose sent bytes are not acknowledged.
 	userTimeout = 8 * time.Second
-	// bufferSize is that of a connection's reader and writer. Thousands of
-	// idle streams are open at once, and the events of a stream are short.
+	// bufferSize is the size of a connection's read buffer and of its write
+	// buffer. It is small because thousands of idle streams are open at once
+	// and the events of a stream are short.
 	bufferSize = 2 << 10
-	// maxIdlePerEndpoint covers an endpoint's usual concurrency.
+	// maxIdlePerEndpoint covers the usual concurrency of an endpoint.
 	maxIdlePerEndpoint = 256
 )
 
-// NewTransport returns a transport whose connections count what they write.
+// NewTransport returns a transport whose connections count their writes.
 func NewTransport() *http.Transport {
 	dialer := &net.Dialer{
 		Timeout: dialTimeout,
@@ -57,38 +58,39 @@
 	}
 }
 
-var errSealed = errors.New("the connection takes no more writes")
+var errWritesBlocked = errors.New("the connection takes no more writes")
 
-// conn is a connection that knows whether writes were begun on it.
+// conn is a connection that counts the writes started on it.
 type conn struct {
 	net.Conn
 
 	mu sync.Mutex
-	// writes counts writes begun. A write begun may have sent a byte.
+	// writes counts the writes that were started. Each may have sent a byte.
 	writes int
-	// sealed connections begin no more writes.
-	sealed bool
-	// taken counts the requests that used the connection.
-	taken int
-	// busy is true from a request's start until its answer was read whole.
+	// writesBlocked makes further writes fail.
+	writesBlocked bool
+	// uses counts the requests that used the connection.
+	uses int
+	// busy is set from the start of a request until its response was read
+	// completely.
 	busy bool
 	// onClose is called once, when the connection closes.
 	onClose func()
 }
 
-// Write writes unless the connection is sealed.
+// Write writes b unless writes are blocked.
 func (c *conn) Write(b []byte) (int, error) {
 	c.mu.Lock()
-	if c.sealed {
+	if c.writesBlocked {
 		c.mu.Unlock()
-		return 0, errSealed
+		return 0, errWritesBlocked
 	}
 	c.writes++
 	c.mu.Unlock()
 	return c.Conn.Write(b)
 }
 
-// Close closes the connection.
+// Close closes the connection and calls onClose if it has not been called yet.
 func (c *conn) Close() error {
 	c.mu.Lock()
 	f := c.onClose
@@ -100,45 +102,45 @@
 	return c.Conn.Close()
 }
 
-// seal ends writing for good and returns the number of writes begun. The
-// transport's write loop may still be about to write when a request has
-// already failed; after the seal it no longer can, so that the number is final.
-func (c *conn) seal() int {
+// blockWrites blocks writes permanently and returns the number of writes
+// started. When a request has failed, the transport's write loop may still be
+// about to write. After this call it can't, so that the number is final.
+func (c *conn) blockWrites() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.sealed = true
+	c.writesBlocked = true
 	return c.writes
 }
 
-// take marks the connection as used by a request. It returns which use of the
-// connection this is, and the number of writes begun before.
-func (c *conn) take(onClose func()) (use, writes int) {
+// acquire marks the connection as used by a request. It returns the sequence
+// number of this use and the number of writes started before.
+func (c *conn) acquire(onClose func()) (use, writes int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.taken++
+	c.uses++
 	c.busy = true
 	c.onClose = onClose
-	return c.taken, c.writes
+	return c.uses, c.writes
 }
 
-// release ends a use. The transport tells of a connection's return to the
-// pool only after another request may have taken it; the number of the use
-// shows that.
+// release marks the end of a use. The transport may report that a connection
+// has returned to the pool only after another request has acquired it, which
+// the sequence number shows.
 func (c *conn) release(use int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.taken == use {
+	if c.uses == use {
 		c.busy = false
 	}
 }
 
-// closeIfIdle seals and closes the connection unless a request uses it. A
-// request that takes it at the same moment finds it sealed, has written
-// nothing, and goes to another connection.
+// closeIfIdle blocks writes on the connection and closes it unless a request
+// uses it. A request that acquires it at the same moment can't write to it and
+// uses another connection.
 func (c *conn) closeIfIdle() {
 	c.mu.Lock()
 	idle := !c.busy
-	c.sealed = c.sealed || idle
+	c.writesBlocked = c.writesBlocked || idle
 	c.mu.Unlock()
 	if idle {
 		_ = c.Close()
--- a/internal/endpoint/usertimeout_linux.go
+++ b/internal/endpoint/usertimeout_linux.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// SetUserTimeout bounds how long sent bytes may stay unacknowledged
+// SetUserTimeout limits how long sent bytes may remain unacknowledged
 // (TCP_USER_TIMEOUT, RFC 5482).
 func SetUserTimeout(c syscall.RawConn, d time.Duration) (err error) {
 	controlErr := c.Control(func(fd uintptr) {
--- a/internal/endpoint/usertimeout_other.go
+++ b/internal/endpoint/usertimeout_other.go
@@ -7,6 +7,6 @@
 	"time"
 )
 
-// SetUserTimeout does nothing where the system has no such option; keepalives
-// and progress deadlines remain.
+// SetUserTimeout does nothing on systems without this option. TCP keep-alives
+// and progress deadlines still apply.
 func SetUserTimeout(syscall.RawConn, time.Duration) error { return nil }
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -1,5 +1,5 @@
-// Package outcome defines how a request ended and why one was refused, as
-// callers, operators and counters see it.
+// Package outcome defines how requests end and why they are refused, as
+// reported to callers and operators and counted in metrics.
 package outcome
 
 import (
@@ -12,7 +12,7 @@
 
 // The outcomes of a request.
 const (
-	// Done means that the whole answer was delivered.
+	// Done means that the complete response was delivered.
 	Done Outcome = "done"
 	// NotRun means that no endpoint executed any part of the request.
 	NotRun Outcome = "notRun"
@@ -20,8 +20,8 @@
 	Unknown Outcome = "unknown"
 )
 
-// Reason is the machine-readable cause of a refusal or a retry. Each has a
-// counter.
+// Reason is the machine-readable cause of a refusal or a retry. Each reason has
+// its own counter.
 type Reason string
 
 // The reasons for refusals and retries.
@@ -68,24 +68,24 @@
 	ReasonInternal        Reason = "internal"
 )
 
-// Refusal is the error with which a request ends other than by its answer.
+// Refusal is the error of a request that was not answered completely.
 type Refusal struct {
 	Outcome Outcome
 	Reason  Reason
-	// Message is for people.
+	// Message is a human-readable explanation.
 	Message string
-	// RetryAfter is zero when a repeat would not help.
+	// RetryAfter is zero if retrying would not help.
 	RetryAfter time.Duration
-	// Addresses lists other hosts to turn to; it may be empty.
+	// Addresses lists other hosts to try; it may be empty.
 	Addresses []string
 }
 
-// Error returns reason and message.
+// Error returns the reason and the message.
 func (r *Refusal) Error() string {
 	return string(r.Reason) + ": " + r.Message
 }
 
-// NotRunError returns a refusal of a request that no endpoint has seen.
+// NotRunError returns a refusal of a request that no endpoint has executed.
 func NotRunError(reason Reason, message string) *Refusal {
 	return &Refusal{Outcome: NotRun, Reason: reason, Message: message}
 }
@@ -95,8 +95,8 @@
 	return &Refusal{Outcome: Unknown, Reason: reason, Message: message}
 }
 
-// Of returns the refusal in err's chain. Any other error counts as internal
-// with an unknown outcome, because nothing is known of how far it went.
+// Of returns the refusal in err's chain. Any other error is reported as
+// internal with an unknown outcome, because the request may have been executed.
 func Of(err error) *Refusal {
 	if refusal, ok := errors.AsType[*Refusal](err); ok {
 		return refusal
--- a/internal/quarantine/doc.go
+++ b/internal/quarantine/doc.go
@@ -1,3 +1,4 @@
-// Package quarantine keeps the requests under which endpoints have ended, so
-// that no daemon sends them on for ever. See docs/design/quarantine.md.
+// Package quarantine tracks the requests during which endpoints have
+// terminated, so that no daemon keeps sending them. See
+// docs/design/quarantine.md.
 package quarantine
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -8,20 +8,20 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// Fingerprint identifies a request as its caller repeats it: each repeat has
-// another id and may come to another daemon.
+// Fingerprint identifies a request across the repeats by its caller. Each
+// repeat has another request id and may be received by another daemon.
 type Fingerprint uint64
 
-// String returns the fingerprint as it stands in the log.
+// String returns the fingerprint in the format used in logs.
 func (f Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(f)) }
 
-// FingerprintOf returns the fingerprint of what a client account asks for.
-// The account is part of it, so that no caller can bring about a fingerprint
-// of another's request.
+// FingerprintOf returns the fingerprint of a request of a client account. The
+// account is part of it, so that no client can produce the fingerprint of
+// another account's request.
 func FingerprintOf(account table.AccountName, method, host, target string, body []byte) Fingerprint {
 	head := make([]byte, 0, headSize)
 	for _, text := range []string{string(account), method, host, target} {
-		// The length keeps two lists of texts from giving the same bytes.
+		// Without length prefixes, different fields could give the same bytes.
 		head = binary.AppendUvarint(head, uint64(len(text)))
 		head = append(head, text...)
 	}
@@ -32,5 +32,6 @@
 	return Fingerprint(binary.BigEndian.Uint64(h.Sum(sum[:0])))
 }
 
-// headSize holds what is hashed besides the body, in bytes; more is allocated.
+// headSize is the initial capacity, in bytes, for what is hashed besides the
+// body. It grows if needed.
 const headSize = 256
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -11,71 +11,78 @@
 )
 
 const (
-	// threshold is how many endpoints end under a request before it is kept
-	// back. One or two may have ended for another reason.
+	// threshold is the number of endpoints that must terminate during a request
+	// before it is quarantined. One or two may have terminated for another
+	// reason.
 	threshold = 3
-	// keepBack is for how long after the last endpoint ended a request is kept
-	// back. It is sent again then, and kept back anew if one more ends.
-	keepBack = 10 * time.Minute
-	// forgetOne is how long after its only endpoint ended a request is
-	// forgotten, forgetMore the same where several have ended: when many
-	// endpoints end at once, most requests on them have seen one end.
-	forgetOne  = 2 * time.Minute
-	forgetMore = time.Hour
-	// renewal is by how much later an end must be than the last one to count
-	// for a request of which enough endpoints are known.
-	renewal = time.Minute
-	// maxEnded bounds the endpoints that are kept of one request.
-	maxEnded = 8
-	// maxSuspects bounds the requests that are known; those of fewest endpoints
-	// go first.
+	// quarantineDuration is how long a request is quarantined after the last
+	// endpoint terminated. It may then be sent again, and is quarantined again
+	// if one more endpoint terminates.
+	quarantineDuration = 10 * time.Minute
+	// retentionOne is how long a request is tracked after its only endpoint
+	// terminated, and retentionMany the same if several have. The former is
+	// short because most requests affected by a mass termination of endpoints
+	// have lost only one.
+	retentionOne  = 2 * time.Minute
+	retentionMany = time.Hour
+	// renewalInterval is how much later than the last known termination another
+	// one must be to count if it adds no endpoint to those recorded for the
+	// request.
+	renewalInterval = time.Minute
+	// maxEndpoints limits the endpoints recorded per request.
+	maxEndpoints = 8
+	// maxSuspects limits the tracked requests. Those with the fewest terminated
+	// endpoints are evicted first.
 	maxSuspects = 1024
-	// maxCompleted bounds the requests that are remembered as completed.
+	// maxCompleted limits the requests that are remembered as completed.
 	maxCompleted = 4096
 )
 
-// List is what one daemon knows of requests under which endpoints have ended,
-// on its own and from others. It is safe for concurrent use.
+// List tracks the requests during which endpoints have terminated, as observed
+// by this daemon or reported by others. It is safe for concurrent use.
 type List struct {
 	clock clockwork.Clock
 	wake  chan struct{}
-	// Changed is called when the daemon begins to keep a request back, or no
-	// longer does because an endpoint has completed it. It must be set before
-	// the list is used and must not call the list.
-	Changed func(f Fingerprint, kept bool)
+	// Changed is called when a request is quarantined, and when it is released
+	// because an endpoint has completed it. It must be set before the list is
+	// used and must not call the list.
+	Changed func(f Fingerprint, quarantined bool)
 
 	mu       sync.Mutex
 	suspects map[Fingerprint]*suspect
-	// pending has how often news of a request is still to be sent; positive.
+	// pending holds how many more times the update about a request is to be
+	// sent; always positive.
 	pending map[Fingerprint]int
-	// completed has the requests that endpoints completed lately, newest the
-	// same in a ring, next the oldest in it.
-	completed map[Fingerprint]bool
-	newest    []Fingerprint
-	next      int
-	// digest is that of the suspects unless stale is set.
-	digest uint64
-	stale  bool
-	// sweepAt is no later than when the first suspect is forgotten; zero if
-	// there is none.
+	// completed holds the most recently completed requests. completedRing holds
+	// the same in a ring buffer, and ringNext is the index of the oldest.
+	completed     map[Fingerprint]bool
+	completedRing []Fingerprint
+	ringNext      int
+	// digest is the digest of the suspects, valid unless digestStale is set.
+	digest      uint64
+	digestStale bool
+	// sweepAt is not later than the earliest expiry of a suspect; zero if there
+	// are no suspects.
 	sweepAt time.Time
 }
 
-// suspect is a request under which endpoints have ended.
+// suspect is a request during which endpoints have terminated.
 type suspect struct {
-	// ended has the endpoints in order, at most maxEnded.
-	ended []EndpointID
-	// completed requests are not kept back until they are forgotten.
+	// endpoints lists the terminated endpoints in ascending order, at most
+	// maxEndpoints.
+	endpoints []EndpointID
+	// completed is set once an endpoint has completed the request. The request
+	// is then not quarantined until its entry expires.
 	completed bool
-	// since is when the last endpoint ended.
-	since time.Time
+	// lastTermination is when the last endpoint terminated.
+	lastTermination time.Time
 }
 
-func (s *suspect) kept(now time.Time) bool {
-	return len(s.ended) >= threshold && !s.completed && now.Sub(s.since) < keepBack
+func (s *suspect) quarantined(now time.Time) bool {
+	return len(s.endpoints) >= threshold && !s.completed && now.Sub(s.lastTermination) < quarantineDuration
 }
 
-// NewList returns a list that knows nothing.
+// NewList returns an empty list.
 func NewList(clock clockwork.Clock) *List {
 	return &List{
 		clock:     clock,
@@ -87,64 +94,64 @@
 	}
 }
 
-// Kept tells whether a request is to be sent to no endpoint.
+// Kept reports whether a request is quarantined and must not be sent.
 func (l *List) Kept(f Fingerprint) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.suspects[f]
-	return s != nil && s.kept(l.clock.Now())
+	return s != nil && s.quarantined(l.clock.Now())
 }
 
-// Len returns how many requests are kept back.
+// Len returns the number of quarantined requests.
 func (l *List) Len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
 	for _, s := range l.suspects {
-		if s.kept(l.clock.Now()) {
+		if s.quarantined(l.clock.Now()) {
 			n++
 		}
 	}
 	return n
 }
 
-// Ended notes that an endpoint ended while it had a request.
+// Ended records that an endpoint terminated while processing a request.
 func (l *List) Ended(f Fingerprint, endpoint table.EndpointName) {
 	l.Apply(News{Fingerprint: f, Ended: []EndpointID{EndpointIDOf(endpoint)}})
 }
 
-// Completed notes that an endpoint has completed a request: others have not
-// ended because of it.
+// Completed records that an endpoint has completed a request. This shows that
+// the request is not what terminated other endpoints.
 func (l *List) Completed(f Fingerprint) {
 	l.mu.Lock()
-	l.remember(f)
-	known := l.suspects[f] != nil
+	l.addCompleted(f)
+	tracked := l.suspects[f] != nil
 	l.mu.Unlock()
-	if known {
+	if tracked {
 		l.Apply(News{Fingerprint: f, Completed: true})
 	}
 }
 
-// remember keeps a request among those completed lately. The caller holds the
-// lock.
-func (l *List) remember(f Fingerprint) {
+// addCompleted adds a request to the recently completed ones. The caller must
+// hold the lock.
+func (l *List) addCompleted(f Fingerprint) {
 	if l.completed[f] {
 		return
 	}
 	l.completed[f] = true
-	if len(l.newest) < maxCompleted {
-		l.newest = append(l.newest, f)
+	if len(l.completedRing) < maxCompleted {
+		l.completedRing = append(l.completedRing, f)
 		return
 	}
-	delete(l.completed, l.newest[l.next])
-	l.newest[l.next] = f
-	l.next = (l.next + 1) % maxCompleted
+	delete(l.completed, l.completedRing[l.ringNext])
+	l.completedRing[l.ringNext] = f
+	l.ringNext = (l.ringNext + 1) % maxCompleted
 }
 
-// Apply takes in news. What is known is never lost by it, in whatever order
-// and however often it comes.
+// Apply merges an update. Updates may be applied in any order and repeatedly
+// without losing what is already known.
 func (l *List) Apply(n News) {
-	if n.Age >= forgetAfter(len(n.Ended)) {
+	if n.Age >= retention(len(n.Ended)) {
 		return
 	}
 	l.mu.Lock()
@@ -152,87 +159,89 @@
 	now := l.clock.Now()
 	s := l.suspects[n.Fingerprint]
 	if s == nil {
-		s = &suspect{since: now.Add(-n.Age)}
+		s = &suspect{lastTermination: now.Add(-n.Age)}
 		l.suspects[n.Fingerprint] = s
 	}
-	before := s.kept(now)
+	before := s.quarantined(now)
 	changed := s.merge(n, now)
-	kept := s.kept(now)
+	after := s.quarantined(now)
 	if changed {
 		l.pending[n.Fingerprint] = sendsPerChange
-		l.stale = true
-		l.limit()
-		l.schedule(s)
+		l.digestStale = true
+		l.evictExcess()
+		l.scheduleSweep(s)
 		l.signal()
 	}
 	l.mu.Unlock()
-	if kept != before {
-		l.Changed(n.Fingerprint, kept)
+	if after != before {
+		l.Changed(n.Fingerprint, after)
 	}
 }
 
-// merge adds what the news has beyond what is known, and tells whether it has
-// anything.
+// merge adds the information in an update that is not known yet, and reports
+// whether there is any.
 func (s *suspect) merge(n News, now time.Time) bool {
-	since := now.Add(-n.Age)
-	ended := len(n.Ended) > 0 && since.Sub(s.since) >= renewal
+	termination := now.Add(-n.Age)
+	terminated := len(n.Ended) > 0 && termination.Sub(s.lastTermination) >= renewalInterval
 	for _, e := range n.Ended {
-		at, known := slices.BinarySearch(s.ended, e)
-		if !known && len(s.ended) < maxEnded {
-			s.ended = slices.Insert(s.ended, at, e)
-			ended = true
+		at, known := slices.BinarySearch(s.endpoints, e)
+		if !known && len(s.endpoints) < maxEndpoints {
+			s.endpoints = slices.Insert(s.endpoints, at, e)
+			terminated = true
 		}
 	}
-	if ended && since.After(s.since) {
-		s.since = since
+	if terminated && termination.After(s.lastTermination) {
+		s.lastTermination = termination
 	}
 	completed := n.Completed && !s.completed
 	s.completed = s.completed || n.Completed
-	return ended || completed
+	return terminated || completed
 }
 
-// limit drops the least suspect request if there are too many. Which one that
-// is does not depend on the order of the news, so that daemons that have heard
-// the same know the same. The caller holds the lock.
-func (l *List) limit() {
+// evictExcess evicts the suspect with the fewest terminated endpoints if there
+// are too many. The choice does not depend on the order of updates, so that
+// daemons that have received the same updates track the same requests. The
+// caller must hold the lock.
+func (l *List) evictExcess() {
 	if len(l.suspects) <= maxSuspects {
 		return
 	}
 	var least Fingerprint
 	var found *suspect
 	for f, s := range l.suspects {
-		if found == nil || len(s.ended) < len(found.ended) || len(s.ended) == len(found.ended) && f < least {
+		if found == nil || len(s.endpoints) < len(found.endpoints) || len(s.endpoints) == len(found.endpoints) && f < least {
 			least, found = f, s
 		}
 	}
-	l.drop(least)
+	l.remove(least)
 }
 
-func (l *List) drop(f Fingerprint) {
+func (l *List) remove(f Fingerprint) {
 	delete(l.suspects, f)
 	delete(l.pending, f)
-	l.stale = true
+	l.digestStale = true
 }
 
-// forgetAfter returns how long after the last endpoint ended a request is
-// forgotten under which so many have.
-func forgetAfter(ended int) time.Duration {
-	if ended < 2 {
-		return forgetOne
+// retention returns how long a request is tracked after the last of the given
+// number of endpoints terminated.
+func retention(endpoints int) time.Duration {
+	if endpoints < 2 {
+		return retentionOne
 	}
-	return forgetMore
+	return retentionMany
 }
 
-func (s *suspect) forgetAt() time.Time { return s.since.Add(forgetAfter(len(s.ended))) }
+func (s *suspect) expiresAt() time.Time { return s.lastTermination.Add(retention(len(s.endpoints))) }
 
-// schedule has a request swept in time. The caller holds the lock.
-func (l *List) schedule(s *suspect) {
-	if at := s.forgetAt(); l.sweepAt.IsZero() || at.Before(l.sweepAt) {
+// scheduleSweep makes the next sweep happen no later than the suspect expires.
+// The caller must hold the lock.
+func (l *List) scheduleSweep(s *suspect) {
+	if at := s.expiresAt(); l.sweepAt.IsZero() || at.Before(l.sweepAt) {
 		l.sweepAt = at
 	}
 }
 
-// sweep drops what is to be forgotten. The caller holds the lock.
+// sweep removes the expired suspects. The caller must hold the lock.
 func (l *List) sweep() {
 	now := l.clock.Now()
 	if l.sweepAt.IsZero() || now.Before(l.sweepAt) {
@@ -240,11 +249,11 @@
 	}
 	l.sweepAt = time.Time{}
 	for f, s := range l.suspects {
-		if now.Before(s.forgetAt()) {
-			l.schedule(s)
+		if now.Before(s.expiresAt()) {
+			l.scheduleSweep(s)
 			continue
 		}
-		l.drop(f)
+		l.remove(f)
 	}
 }
 
--- a/internal/quarantine/list_test.go
+++ b/internal/quarantine/list_test.go
@@ -13,68 +13,69 @@
 
 func endpointName(i int) table.EndpointName { return table.EndpointName(fmt.Sprintf("engine-%d", i)) }
 
-// endUnder has n more endpoints end under a request, from a number on.
-func endUnder(l *List, f Fingerprint, from, n int) {
+// terminate records that n endpoints, numbered from a given number on,
+// terminated during a request.
+func terminate(l *List, f Fingerprint, from, n int) {
 	for i := range n {
 		l.Ended(f, endpointName(from+i))
 	}
 }
 
-// Guards against a request being kept back that only one or two endpoints, or
-// one endpoint time and again, have ended under.
-func TestKeptAfterThreeEndpoints(t *testing.T) {
+// Guards against quarantining a request during which only one or two endpoints
+// have terminated, or the same endpoint repeatedly.
+func TestQuarantineAfterThreeEndpoints(t *testing.T) {
 	l := NewList(clockwork.NewFakeClock())
 	for range 5 {
 		l.Ended(1, endpointName(1))
 	}
 	l.Ended(1, endpointName(2))
 	if l.Kept(1) {
-		t.Error("kept back after two endpoints")
+		t.Error("quarantined after two endpoints")
 	}
 	l.Ended(1, endpointName(3))
 	if !l.Kept(1) {
-		t.Error("sent after three endpoints")
+		t.Error("not quarantined after three endpoints")
 	}
 	if l.Kept(2) {
-		t.Error("another request is kept back")
+		t.Error("another request is quarantined")
 	}
 }
 
-// Guards against a request that still ends endpoints being sent for good once
-// its time is over, however many have ended under it.
-func TestKeptAnewAfterOneMore(t *testing.T) {
+// Guards against sending a request indefinitely after its first quarantine
+// although it still terminates endpoints, however many have terminated already.
+func TestQuarantineAgainAfterOneMoreEndpoint(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	l, other := NewList(clock), NewList(clock)
-	endUnder(l, 1, 0, threshold)
-	for i := range 2 * maxEnded {
-		clock.Advance(keepBack)
+	terminate(l, 1, 0, threshold)
+	for i := range 2 * maxEndpoints {
+		clock.Advance(quarantineDuration)
 		if l.Kept(1) {
-			t.Fatal("kept back for longer than its time")
+			t.Fatal("still quarantined after its quarantine expired")
 		}
 		l.Ended(1, endpointName(threshold+i))
 		if !l.Kept(1) {
-			t.Fatalf("sent after endpoint %d", threshold+i)
+			t.Fatalf("not quarantined after endpoint %d", threshold+i)
 		}
 		for _, n := range l.TakeNews(1) {
 			other.Apply(n)
 		}
 		if !other.Kept(1) {
-			t.Fatalf("another daemon sends it after endpoint %d", threshold+i)
+			t.Fatalf("not quarantined by another daemon after endpoint %d", threshold+i)
 		}
 	}
-	clock.Advance(forgetMore)
+	clock.Advance(retentionMany)
 	if l.Digest() != 0 || len(l.All()) != 0 || len(l.TakeNews(1)) != 0 {
-		t.Error("not forgotten")
+		t.Error("still tracked after its retention period")
 	}
 }
 
-// Guards against daemons that tell each other the same for ever: an age that
-// is passed on does not begin anew.
-func TestNewsGrowsOld(t *testing.T) {
+// Guards against daemons that keep a suspect tracked forever by sending it to
+// each other: the age in an update must not restart when it is passed on.
+func TestUpdateAgeIsPassedOn(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	a, b := NewList(clock), NewList(clock)
-	endUnder(a, 1, 0, threshold)
-	for range int(forgetMore / time.Minute) {
+	terminate(a, 1, 0, threshold)
+	for range int(retentionMany / time.Minute) {
 		clock.Advance(time.Minute)
 		for _, pair := range [][2]*List{{a, b}, {b, a}} {
 			for _, n := range pair[0].All() {
@@ -83,15 +84,16 @@
 		}
 	}
 	if len(a.All())+len(b.All()) != 0 {
-		t.Error("still known after its time")
+		t.Error("still tracked after its retention period")
 	}
 }
 
-// Guards against one caller that fills the memory of all daemons: what is known
-// is bounded, and a request that several endpoints have ended under stays.
+// Guards against a single caller that fills the memory of all daemons: the
+// number of tracked requests is limited, and a request during which several
+// endpoints have terminated is not evicted.
 func TestSuspectsAreBounded(t *testing.T) {
 	l := NewList(clockwork.NewFakeClock())
-	endUnder(l, 1, 0, threshold)
+	terminate(l, 1, 0, threshold)
 	for f := range 3 * maxSuspects {
 		l.Ended(Fingerprint(2+f), endpointName(1))
 	}
@@ -99,34 +101,35 @@
 		l.Completed(Fingerprint(f))
 	}
 	if n := len(l.suspects); n > maxSuspects {
-		t.Errorf("%d requests are known", n)
+		t.Errorf("%d requests are tracked", n)
 	}
-	if n := len(l.completed); n > maxCompleted || len(l.newest) != n {
-		t.Errorf("%d requests are remembered as completed, %d in order", n, len(l.newest))
+	if n := len(l.completed); n > maxCompleted || len(l.completedRing) != n {
+		t.Errorf("%d requests are remembered as completed, %d in the ring", n, len(l.completedRing))
 	}
-	if s := l.suspects[1]; s == nil || len(s.ended) != threshold {
-		t.Error("the most suspect request was dropped")
+	if s := l.suspects[1]; s == nil || len(s.endpoints) != threshold {
+		t.Error("the request with the most terminated endpoints was evicted")
 	}
 }
 
-// Guards against daemons that have heard the same news and yet know different
-// things: they would ask each other for everything again and again.
-func TestOrderOfNewsDoesNotMatter(t *testing.T) {
+// Guards against daemons that have received the same updates in different order
+// and end up with different digests: they would request the full list from each
+// other again and again.
+func TestOrderOfUpdatesDoesNotMatter(t *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		clock := clockwork.NewFakeClock()
-		var news []News
+		var updates []News
 		for range 4 * maxSuspects {
 			n := News{Fingerprint: Fingerprint(random.IntN(2 * maxSuspects)), Completed: random.IntN(8) == 0}
 			n.Ended = []EndpointID{EndpointID(random.IntN(5))}
-			news = append(news, n)
+			updates = append(updates, n)
 		}
 		a, b := NewList(clock), NewList(clock)
-		for _, n := range news {
+		for _, n := range updates {
 			a.Apply(n)
 		}
-		random.Shuffle(len(news), func(i, j int) { news[i], news[j] = news[j], news[i] })
-		for _, n := range news {
+		random.Shuffle(len(updates), func(i, j int) { updates[i], updates[j] = updates[j], updates[i] })
+		for _, n := range updates {
 			b.Apply(n)
 		}
 		for range 2 {
@@ -143,8 +146,8 @@
 	}
 }
 
-// Guards against fingerprints that differ for the same request, or are the same
-// for another account, target or body.
+// Guards against different fingerprints for the same request, and against equal
+// ones for another account, method, host, target or body.
 func TestFingerprint(t *testing.T) {
 	same := FingerprintOf("a", "POST", "h", "/x", []byte("body"))
 	if same != FingerprintOf("a", "POST", "h", "/x", []byte("body")) {
--- a/internal/quarantine/note.go
+++ b/internal/quarantine/report.go
@@ -2,14 +2,14 @@
 
 import "log/slog"
 
-// Message tells callers and the log why a request is kept back.
+// Message is the explanation given for a quarantined request.
 const Message = "endpoints have ended under this request"
 
-// Note returns what logs and counts that a request is sent no more, or again;
-// see List.Changed.
+// Note returns a callback for List.Changed that logs and counts when a request
+// is quarantined or released.
 func Note(logger *slog.Logger, count func(name string)) func(Fingerprint, bool) {
-	return func(f Fingerprint, kept bool) {
-		if kept {
+	return func(f Fingerprint, quarantined bool) {
+		if quarantined {
 			count("quarantine.begun")
 			logger.Warn("request quarantined", "fingerprint", f.String())
 			return
--- a/internal/quarantine/news.go
+++ b/internal/quarantine/update.go
@@ -11,7 +11,7 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// EndpointID stands for an endpoint's name in the news.
+// EndpointID is a hash of an endpoint's name that represents it in updates.
 type EndpointID uint32
 
 // EndpointIDOf returns the id of an endpoint.
@@ -19,26 +19,29 @@
 	return EndpointID(xxhash.Sum64String(string(name)))
 }
 
-// News is what a daemon tells others of one request.
+// News is the update about one request that daemons send to each other.
 type News struct {
 	Fingerprint Fingerprint
-	// Ended has the endpoints that ended under the request, in order.
+	// Ended lists the endpoints that terminated during the request, in
+	// ascending order.
 	Ended []EndpointID
-	// Completed says that an endpoint has completed the request.
+	// Completed is set if an endpoint has completed the request.
 	Completed bool
-	// Age is how long ago the last endpoint ended.
+	// Age is the time since the last endpoint terminated.
 	Age time.Duration
 }
 
-// sendsPerChange is how often a daemon passes on a change: about once to each
-// of its partners, with some to spare. Digests find what is missed even so.
+// sendsPerChange is how many times a daemon sends a change: about once to each
+// of its partners, with some margin. Missed updates are still found by
+// comparing digests.
 const sendsPerChange = 10
 
-// Wake has a signal when there is news that should be sent at once.
+// Wake returns a channel that receives a value when there are updates to be
+// sent immediately.
 func (l *List) Wake() <-chan struct{} { return l.wake }
 
-// TakeNews returns up to n pieces of news to send in one message, those of most
-// endpoints and the least sent first.
+// TakeNews returns up to n updates to send in one message. Those with the most
+// terminated endpoints come first, then those sent the fewest times.
 func (l *List) TakeNews(n int) []News {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,47 +52,47 @@
 	}
 	slices.SortFunc(pending, func(a, b Fingerprint) int {
 		return cmp.Or(
-			cmp.Compare(len(l.suspects[b].ended), len(l.suspects[a].ended)),
+			cmp.Compare(len(l.suspects[b].endpoints), len(l.suspects[a].endpoints)),
 			cmp.Compare(l.pending[b], l.pending[a]),
 			cmp.Compare(a, b))
 	})
-	news := make([]News, 0, min(n, len(pending)))
+	updates := make([]News, 0, min(n, len(pending)))
 	for _, f := range pending[:min(n, len(pending))] {
-		news = append(news, l.newsOf(f))
+		updates = append(updates, l.updateOf(f))
 		l.pending[f]--
 		if l.pending[f] == 0 {
 			delete(l.pending, f)
 		}
 	}
-	return news
+	return updates
 }
 
-// All returns news of every request.
+// All returns an update about every tracked request.
 func (l *List) All() []News {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sweep()
-	news := make([]News, 0, len(l.suspects))
+	updates := make([]News, 0, len(l.suspects))
 	for f := range l.suspects {
-		news = append(news, l.newsOf(f))
+		updates = append(updates, l.updateOf(f))
 	}
-	return news
+	return updates
 }
 
-func (l *List) newsOf(f Fingerprint) News {
+func (l *List) updateOf(f Fingerprint) News {
 	s := l.suspects[f]
-	return News{Fingerprint: f, Ended: slices.Clone(s.ended), Completed: s.completed, Age: l.clock.Since(s.since)}
+	return News{Fingerprint: f, Ended: slices.Clone(s.endpoints), Completed: s.completed, Age: l.clock.Since(s.lastTermination)}
 }
 
-// Digest returns a hash of what is known; zero of nothing.
+// Digest returns a hash of all tracked requests, or zero if there are none.
 func (l *List) Digest() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sweep()
-	if !l.stale {
+	if !l.digestStale {
 		return l.digest
 	}
-	l.stale, l.digest = false, 0
+	l.digestStale, l.digest = false, 0
 	for f, s := range l.suspects {
 		l.digest ^= s.hash(f)
 	}
@@ -98,7 +101,7 @@
 
 func (s *suspect) hash(f Fingerprint) uint64 {
 	h := stat.Mix(uint64(f))
-	for _, e := range s.ended {
+	for _, e := range s.endpoints {
 		h = stat.Mix(h + uint64(e))
 	}
 	if s.completed {
