--- a/internal/cell/bench_test.go
+++ b/internal/cell/bench_test.go
@@ -21,7 +21,7 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// countingListener counts the bytes of its connections.
+// countingListener counts the bytes read and written on its connections.
 type countingListener struct {
 	net.Listener
 	bytes *atomic.Int64
@@ -49,10 +49,10 @@
 	return n, err
 }
 
-// BenchmarkReservation measures a reserve, its grant and its release between
-// two daemons over one stream on loopback, with the given number of requests
-// in progress: the bytes on the wire in both directions, and the processor
-// time of both ends together.
+// BenchmarkReservation measures reserving, granting and releasing a slot between
+// two daemons over one loopback stream, with the given number of concurrent
+// requests. It reports the bytes transferred in both directions and the CPU time
+// of both ends together.
 func BenchmarkReservation(b *testing.B) {
 	for _, inProgress := range []int{1, 64} {
 		b.Run(fmt.Sprintf("inProgress=%d", inProgress), func(b *testing.B) { benchmarkReservation(b, inProgress) })
@@ -78,7 +78,7 @@
 		return placement.Link{Send: s.Send, Done: s.Done(), Close: s.Close}
 	}, metric.NewRegistry(), cell.DefaultSize, settings.PolicyCells)
 	placer.Configure(tbl)
-	one := func() {
+	reserveAndRelease := func() {
 		g, err := placer.Reserve(context.Background(), placement.Request{Pool: "model", Class: "slots", Account: "studio", PromptTokens: 200, Prefix: 1 << 60})
 		if err != nil {
 			b.Error(err)
@@ -89,9 +89,9 @@
 	coordinator.Tick(ready, nil)
 	time.Sleep(600 * time.Millisecond)
 	coordinator.Tick(ready, nil)
-	one()
+	reserveAndRelease()
 	bytes.Store(0)
-	before := processorTime()
+	before := cpuTime()
 	b.ReportAllocs()
 	var left atomic.Int64
 	left.Store(int64(b.N))
@@ -100,7 +100,7 @@
 	for range inProgress {
 		go func() {
 			for left.Add(-1) >= 0 {
-				one()
+				reserveAndRelease()
 			}
 			done <- struct{}{}
 		}()
@@ -109,7 +109,7 @@
 		<-done
 	}
 	b.ReportMetric(float64(bytes.Load())/float64(b.N), "bytes/op")
-	b.ReportMetric(float64((processorTime()-before).Nanoseconds())/float64(b.N), "cpu-ns/op")
+	b.ReportMetric(float64((cpuTime()-before).Nanoseconds())/float64(b.N), "cpu-ns/op")
 }
 
 func servePeer(b *testing.B, coordinator *cell.Coordinator, bytes *atomic.Int64) (address string) {
@@ -131,8 +131,8 @@
 	return l.Addr().String()
 }
 
-// processorTime returns what the process has used so far.
-func processorTime() time.Duration {
+// cpuTime returns the user and system CPU time that the process has used.
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0
--- a/internal/cell/convert.go
+++ b/internal/cell/convert.go
@@ -8,11 +8,11 @@
 	"github.com/beechhead/beechhead/internal/schedule"
 )
 
-// waitingPerPlace bounds a cell's queue by the requests that its endpoints run
-// at once.
-const waitingPerPlace = 16
+// queuePerSlot is the number of requests that may wait in a cell's queue for
+// each request that its endpoints can run concurrently.
+const queuePerSlot = 16
 
-// config translates the table for one cell.
+// config returns the scheduler configuration of a cell, built from the table.
 func (c *Coordinator) config(id ID) schedule.Config {
 	cfg := schedule.Config{Discipline: c.discipline, Disabled: c.Disabled, Share: c.share}
 	endpoints := c.plan.Endpoints(id)
@@ -25,13 +25,13 @@
 			Zone:        e.Zone,
 			Draining:    c.draining[e.Name],
 		})
-		cfg.MaxWaiting += waitingPerPlace * e.Concurrency
+		cfg.MaxWaiting += queuePerSlot * e.Concurrency
 	}
 	if len(endpoints) == 0 {
 		return cfg
 	}
 	pool := endpoints[0].Pool
-	// The limit of a class's queue is shared by the cells of the pool.
+	// The queue limit of a class is divided among the cells of the pool.
 	cells := len(c.plan.Cells(pool))
 	for i := range c.table.Classes {
 		cl := &c.table.Classes[i]
--- a/internal/cell/coordinator.go
+++ b/internal/cell/coordinator.go
@@ -16,82 +16,85 @@
 )
 
 const (
-	// recoveryWait bounds how long a new coordinator waits for the reports
-	// of the hosts that it knows before it grants.
-	recoveryWait = 500 * time.Millisecond
-	// reportPause is how long no report must have come for the wait to end
-	// sooner: hosts that hold nothing don't report in a large fleet.
-	reportPause = 100 * time.Millisecond
-	// pressureInterval is the time between two publications of the cells'
-	// pressure to the entry daemons.
+	// recoveryTimeout limits how long a new coordinator waits for reports from
+	// the known hosts before it grants slots.
+	recoveryTimeout = 500 * time.Millisecond
+	// reportQuietPeriod ends the wait early when no report has arrived for this
+	// long. In a large fleet, hosts that hold no grants do not report.
+	reportQuietPeriod = 100 * time.Millisecond
+	// pressureInterval is the interval at which the load pressure of the cells
+	// is published to the entry daemons.
 	pressureInterval = 500 * time.Millisecond
 )
 
-// Coordinator runs the cells for which entry daemons turn to this daemon. Its
-// state is soft: it is rebuilt from the entry daemons' reports. It is safe for
-// concurrent use.
+// Coordinator schedules the requests of the cells that this daemon coordinates.
+// It keeps only soft state, which a new coordinator rebuilds from the reports
+// of the entry daemons. It is safe for concurrent use.
 type Coordinator struct {
 	clock clockwork.Clock
 	size  int
-	// discipline is the order of the queues.
+	// discipline is the queue discipline of the cells.
 	discipline schedule.Discipline
-	// Disabled are the mechanisms that take no part in decisions. It must be
-	// set before the first table.
+	// Disabled lists the scheduling mechanisms that are switched off. It must
+	// be set before the first call of Configure.
 	Disabled []schedule.Mechanism
 
 	mu    sync.Mutex
 	table *table.Table
 	plan  *Plan
-	// unprepared says that the plan has changed since cells were prepared.
-	unprepared bool
-	cells      map[ID]*coordinated
-	// draining has the endpoints that get no new grants.
+	// planChanged reports whether the plan has changed since the cells were
+	// last created from it.
+	planChanged bool
+	cells       map[ID]*cellState
+	// draining holds the endpoints that get no new grants.
 	draining map[table.EndpointName]bool
-	// share divides the endpoints' concurrency while this daemon decides
-	// alone; it is at least 1.
+	// share is the divisor of the endpoints' concurrency while this daemon
+	// schedules without coordination with others; it is at least 1.
 	share   int
 	self    membership.HostID
 	ranking *Ranking
-	// suspects has the hosts that this daemon can't reach.
+	// suspects holds the hosts that this daemon can't reach.
 	suspects map[membership.HostID]bool
-	// sessions has the newest session of each incarnation of an entry daemon.
+	// sessions holds the newest session of each entry daemon incarnation.
 	sessions map[sessionKey]*Session
-	// owing has the sessions with a batch to acknowledge.
-	owing []*Session
-	// dirty has the cells with decisions still to be taken.
-	dirty     map[ID]bool
-	published time.Time
-	// swept is when orphans were last searched for.
-	swept time.Time
+	// unackedSessions lists the sessions with an unacknowledged batch.
+	unackedSessions []*Session
+	// dirty holds the cells that the scheduler must run for again.
+	dirty         map[ID]bool
+	lastPublished time.Time
+	// lastSweep is when the last search for orphaned grants began.
+	lastSweep time.Time
 }
 
-// coordinated is a cell with what it still waits for after a change of
-// coordinator.
-type coordinated struct {
+// cellState is a cell together with the state of its recovery after a change
+// of coordinator.
+type cellState struct {
 	*schedule.Cell
-	// until is when the cell grants at the latest; zero once it does.
-	until time.Time
-	// heard is when the last report of what is held came, or the cell was made.
-	heard time.Time
-	// reported has the hosts whose holdings are known.
+	// recoveryDeadline is when the cell begins to grant at the latest; it is
+	// zero once recovery has ended.
+	recoveryDeadline time.Time
+	// lastReport is when the last report of grants arrived, or when the cell
+	// was created.
+	lastReport time.Time
+	// reported holds the hosts that have reported their grants.
 	reported map[schedule.Host]bool
 }
 
-// disciplines has the queue's order for each policy; PolicyCells and the
-// empty one have schedule.ByTier.
+// disciplines maps policies to queue disciplines. PolicyCells and the empty
+// policy are absent and so map to schedule.ByTier, the zero value.
 var disciplines = map[settings.Policy]schedule.Discipline{
 	settings.PolicyRoundRobin:       schedule.RoundRobin,
 	settings.PolicyLeastOutstanding: schedule.LeastOutstanding,
 }
 
-// NewCoordinator returns the coordinator of a host, with cells of the given
-// size.
+// NewCoordinator returns a coordinator for the host self. Cells contain about
+// size endpoints.
 func NewCoordinator(clock clockwork.Clock, self membership.HostID, size int, policy settings.Policy) *Coordinator {
 	return &Coordinator{
 		clock:      clock,
 		size:       size,
 		discipline: disciplines[policy],
-		cells:      map[ID]*coordinated{},
+		cells:      map[ID]*cellState{},
 		share:      1,
 		self:       self,
 		ranking:    NewRanking(),
@@ -100,19 +103,19 @@
 	}
 }
 
-// Configure puts a table in force.
+// Configure applies a new table.
 func (c *Coordinator) Configure(t *table.Table) {
 	c.mu.Lock()
 	c.table = t
 	c.plan = NewPlan(t, c.size)
-	c.unprepared = true
+	c.planChanged = true
 	out := c.reconfigure()
 	c.mu.Unlock()
-	out.deliver()
+	out.flush()
 }
 
-// SetDraining names the endpoints that get no new grants, such as those whose
-// host the platform lists as leaving.
+// SetDraining sets the endpoints that get no new grants, for example because
+// the platform lists their host as leaving.
 func (c *Coordinator) SetDraining(names []table.EndpointName) {
 	c.mu.Lock()
 	c.draining = map[table.EndpointName]bool{}
@@ -121,11 +124,12 @@
 	}
 	out := c.reconfigure()
 	c.mu.Unlock()
-	out.deliver()
+	out.flush()
 }
 
-// SetShare makes the daemon grant only one part in share of each endpoint's
-// concurrency, because it decides alone and others may do so as well.
+// SetShare limits this daemon to 1/share of each endpoint's concurrency. It is
+// used while this daemon schedules without coordination and others may do so as
+// well, so that together they don't exceed the concurrency.
 func (c *Coordinator) SetShare(share int) {
 	c.mu.Lock()
 	if share == c.share {
@@ -135,11 +139,12 @@
 	c.share = share
 	out := c.reconfigure()
 	c.mu.Unlock()
-	out.deliver()
+	out.flush()
 }
 
-// reconfigure gives every cell what the table and the platform say now.
-func (c *Coordinator) reconfigure() delivery {
+// reconfigure applies the current table, draining endpoints and share to every
+// cell.
+func (c *Coordinator) reconfigure() outbox {
 	if c.plan == nil {
 		return nil
 	}
@@ -150,12 +155,13 @@
 	return c.step()
 }
 
-// DropHost forgets what an incarnation holds and waits for. If it was only
-// silent, its next batch is answered with an order to report again.
+// DropHost removes the grants and waiting requests of an incarnation. If the
+// daemon is still running, the response to its next batch tells it to report
+// its state again.
 func (c *Coordinator) DropHost(host string, incarnation uint64) {
 	c.mu.Lock()
 	if s := c.sessions[sessionKey{schedule.Host(host), incarnation}]; s != nil {
-		s.forgotten = true
+		s.dropped = true
 	}
 	for id, cell := range c.cells {
 		cell.DropHost(schedule.Host(host), incarnation)
@@ -163,12 +169,13 @@
 	}
 	out := c.step()
 	c.mu.Unlock()
-	out.deliver()
+	out.flush()
 }
 
-// Tick lets time-driven decisions happen. The hosts are those that take work,
-// the suspects those of them that this daemon can't reach: their reports are
-// not waited for.
+// Tick runs the time-driven work: scheduling, publishing pressure and sending
+// delayed acknowledgements. hosts are the hosts that take work; suspects are
+// those among them that this daemon can't reach, whose reports recovery does
+// not wait for.
 func (c *Coordinator) Tick(hosts *membership.Snapshot, suspects map[membership.HostID]bool) {
 	c.mu.Lock()
 	c.suspects = suspects
@@ -176,21 +183,21 @@
 		c.mu.Unlock()
 		return
 	}
-	c.prepare(c.ranking.Update(hosts) || c.unprepared)
+	c.updateCells(c.ranking.Update(hosts) || c.planChanged)
 	for id := range c.cells {
 		c.dirty[id] = true
 	}
 	out := c.step()
-	c.publish(out)
-	c.acknowledge(out)
+	c.publishPressure(out)
+	c.addDueAcks(out)
 	c.mu.Unlock()
-	out.deliver()
+	out.flush()
 }
 
-// prepare makes the cells that this daemon coordinates, so that they are
-// ready when the first reserve comes, and drops empty ones that it no longer
-// does.
-func (c *Coordinator) prepare(changed bool) {
+// updateCells removes idle cells that this daemon no longer coordinates. If
+// changed is set, it also creates the cells that it coordinates now, so that
+// their recovery has ended before the first reservation arrives.
+func (c *Coordinator) updateCells(changed bool) {
 	for id, cell := range c.cells {
 		if !c.coordinates(id) && cell.Idle() {
 			delete(c.cells, id)
@@ -200,7 +207,7 @@
 	if !changed {
 		return
 	}
-	c.unprepared = false
+	c.planChanged = false
 	for _, id := range c.plan.All() {
 		if c.coordinates(id) {
 			c.cell(id)
@@ -208,48 +215,49 @@
 	}
 }
 
-// coordinates tells whether this daemon ranks first for a cell.
+// coordinates reports whether this daemon ranks first for a cell.
 func (c *Coordinator) coordinates(id ID) bool {
 	ranked := c.ranking.Rank(id, c.plan.Region(id))
 	return len(ranked) > 0 && ranked[0].ID == c.self
 }
 
-// cell returns the cell of that id, and marks it for a step.
-func (c *Coordinator) cell(id ID) *coordinated {
+// cell returns the cell with the given id, creating it if needed, and marks it
+// dirty.
+func (c *Coordinator) cell(id ID) *cellState {
 	c.dirty[id] = true
 	if cell := c.cells[id]; cell != nil {
 		return cell
 	}
-	cell := &coordinated{
-		Cell:     schedule.NewCell(c.clock),
-		until:    c.clock.Now().Add(recoveryWait),
-		heard:    c.clock.Now(),
-		reported: map[schedule.Host]bool{},
+	cell := &cellState{
+		Cell:             schedule.NewCell(c.clock),
+		recoveryDeadline: c.clock.Now().Add(recoveryTimeout),
+		lastReport:       c.clock.Now(),
+		reported:         map[schedule.Host]bool{},
 	}
 	if c.discipline != schedule.ByTier {
-		cell.until = time.Time{}
+		cell.recoveryDeadline = time.Time{}
 	}
 	cell.Configure(c.config(id))
 	c.cells[id] = cell
 	return cell
 }
 
-// recovering tells whether a cell still waits for reports. Until all have
-// come, it does not know which places are taken: a grant could put two
-// requests on one place.
-func (c *Coordinator) recovering(cell *coordinated) bool {
-	if cell.until.IsZero() {
+// recovering reports whether a cell still waits for reports. Until all reports
+// have arrived, the cell does not know which slots are in use, and a grant
+// could assign a slot twice.
+func (c *Coordinator) recovering(cell *cellState) bool {
+	if cell.recoveryDeadline.IsZero() {
 		return false
 	}
 	now := c.clock.Now()
-	if now.Before(cell.until) && now.Sub(cell.heard) < reportPause && !c.allReported(cell) {
+	if now.Before(cell.recoveryDeadline) && now.Sub(cell.lastReport) < reportQuietPeriod && !c.allReported(cell) {
 		return true
 	}
-	cell.until = time.Time{}
+	cell.recoveryDeadline = time.Time{}
 	return false
 }
 
-func (c *Coordinator) allReported(cell *coordinated) bool {
+func (c *Coordinator) allReported(cell *cellState) bool {
 	for _, h := range c.ranking.Hosts().All() {
 		if !cell.reported[schedule.Host(h.ID)] && !c.suspects[h.ID] {
 			return false
@@ -258,29 +266,29 @@
 	return c.ranking.Hosts().Len() > 0
 }
 
-// delivery is what a step decided, by session. It is sent after the lock is
-// given back.
-type delivery map[*Session]*peerv1.ReservationsResponse
+// outbox collects the responses for each session. It is flushed after the
+// coordinator's lock has been released.
+type outbox map[*Session]*peerv1.ReservationsResponse
 
-func (d delivery) deliver() {
+func (d outbox) flush() {
 	for s, resp := range d {
 		s.send(resp)
 	}
 }
 
-func (d delivery) to(s *Session) *peerv1.ReservationsResponse {
+func (d outbox) response(s *Session) *peerv1.ReservationsResponse {
 	resp := d[s]
 	if resp == nil {
 		resp = &peerv1.ReservationsResponse{Acked: s.unacked}
-		s.begun = s.begun || s.unacked > 0
+		s.acked = s.acked || s.unacked > 0
 		s.unacked = 0
 		d[s] = resp
 	}
 	return resp
 }
 
-func (c *Coordinator) step() delivery {
-	out := delivery{}
+func (c *Coordinator) step() outbox {
+	out := outbox{}
 	for id := range c.dirty {
 		cell := c.cells[id]
 		if c.recovering(cell) {
@@ -288,18 +296,18 @@
 		}
 		delete(c.dirty, id)
 		for _, d := range cell.Step() {
-			c.add(out, d)
+			c.addDecision(out, d)
 		}
 	}
 	return out
 }
 
-func (c *Coordinator) add(out delivery, d schedule.Decision) {
+func (c *Coordinator) addDecision(out outbox, d schedule.Decision) {
 	s := c.sessions[sessionKey{d.ID.Host, d.ID.Incarnation}]
 	if s == nil {
 		return
 	}
-	resp := out.to(s)
+	resp := out.response(s)
 	switch {
 	case d.Preempt:
 		resp.Preempts = append(resp.Preempts, d.ID.Sequence)
@@ -321,14 +329,15 @@
 	}
 }
 
-// publish tells the entry daemons how crowded the cells are. Only pools with
-// a choice of cells need it.
-func (c *Coordinator) publish(out delivery) {
+// publishPressure adds the pressure of the cells to the responses to all entry
+// daemons. Cells that are the only one of their pool are left out, because
+// there is no other cell to choose.
+func (c *Coordinator) publishPressure(out outbox) {
 	now := c.clock.Now()
-	if now.Sub(c.published) < pressureInterval {
+	if now.Sub(c.lastPublished) < pressureInterval {
 		return
 	}
-	c.published = now
+	c.lastPublished = now
 	var pressures []*peerv1.Pressure
 	for id, cell := range c.cells {
 		endpoints := c.plan.Endpoints(id)
@@ -341,8 +350,9 @@
 		return
 	}
 	for _, s := range c.sessions {
-		// Merging appends: the slice must not be shared beyond its end.
-		out.to(s).Pressures = slices.Clip(pressures)
+		// Merging of responses appends to the slice, which all sessions share:
+		// without spare capacity, append copies it.
+		out.response(s).Pressures = slices.Clip(pressures)
 	}
 }
 
--- a/internal/cell/fuzz_test.go
+++ b/internal/cell/fuzz_test.go
@@ -14,7 +14,7 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// fuzzTable has one engine with two places, and one class.
+// fuzzTable returns a table with one class and one engine of concurrency 2.
 func fuzzTable() *table.Table {
 	return &table.Table{
 		Classes:   []table.Class{{Name: "a", Weight: 1, Pools: []table.Pool{"m"}, MaxWait: table.Duration(time.Second), Idempotent: true}},
@@ -22,9 +22,9 @@
 	}
 }
 
-// FuzzCoordinator checks that no batch of whatever a peer may send crashes a
-// coordinator, and that it still grants a place to another peer afterwards,
-// once the first peer is gone and all that it held with it.
+// FuzzCoordinator checks that no batch from a peer crashes a coordinator, and
+// that the coordinator still grants a slot to another peer after the first peer
+// and its grants have been dropped.
 func FuzzCoordinator(f *testing.F) {
 	add := func(m *peerv1.ReservationsRequest) {
 		data, err := proto.Marshal(m)
@@ -48,7 +48,7 @@
 		c.Tick(hosts, nil)
 		hostile := c.Attach(&peerv1.Hello{Host: "host-2", Incarnation: 2}, func(*peerv1.ReservationsResponse) {})
 		hostile.Handle(&req)
-		// A new coordinator waits a bounded time for what others hold.
+		// End the recovery, in which a new coordinator waits for reports.
 		clock.Advance(time.Minute)
 		c.Tick(hosts, nil)
 		hostile.Handle(&req)
@@ -61,7 +61,7 @@
 		clock.Advance(time.Minute)
 		c.Tick(hosts, nil)
 		if granted != 1 {
-			t.Fatalf("%d grants after %v", granted, &req)
+			t.Fatalf("got %d grants, want 1, after batch %v", granted, &req)
 		}
 	})
 }
--- a/internal/cell/orphans.go
+++ b/internal/cell/orphans.go
@@ -8,30 +8,32 @@
 )
 
 const (
-	// sweepInterval is the time between two searches for orphans.
+	// sweepInterval is the minimum interval between two searches for orphaned
+	// grants.
 	sweepInterval = time.Second
-	// orphanSilence is how long a session must be silent for what it holds to
-	// be given up, if its host is not known to live.
-	orphanSilence = 3 * time.Second
+	// orphanTimeout is how long no batch must have arrived from a host that is
+	// not known to be alive before its grants are dropped.
+	orphanTimeout = 3 * time.Second
 )
 
-// Sweep drops what incarnations hold that have ended, and returns how many such
-// incarnations there were. The function alive returns the hosts that live.
+// Sweep drops the grants and waiting requests of daemon incarnations that have
+// terminated. It returns how many it has dropped, counted once per cell. The
+// function alive returns the hosts that are alive.
 //
-// A batch can come after news of its daemon's end: it lay in the socket of a
-// coordinator that was paused. Nobody ever releases what it reserved, and each
-// such grant takes a place for good; one without a first token makes its engine
-// look further behind with every second, until no request is sent there any
-// more. Events alone can't close that gap, so the whole state is compared with
-// the view from time to time.
+// If the coordinator was paused, it can read a batch from its socket after it
+// has learned that the sender has terminated. Nobody releases the slots that
+// such a batch reserves, so each grant occupies its slot forever. A grant
+// without a first token also makes its engine appear further behind with every
+// second, until it gets no requests any more. Handling events alone can't
+// prevent this, so the state is compared with the membership view periodically.
 func (c *Coordinator) Sweep(alive func() *membership.Snapshot) int {
 	c.mu.Lock()
 	now := c.clock.Now()
-	if now.Sub(c.swept) < sweepInterval {
+	if now.Sub(c.lastSweep) < sweepInterval {
 		c.mu.Unlock()
 		return 0
 	}
-	c.swept = now
+	c.lastSweep = now
 	c.mu.Unlock()
 	orphans := c.orphans(alive(), now)
 	for _, h := range orphans {
@@ -40,14 +42,14 @@
 	return len(orphans)
 }
 
-// orphans returns the holders that have ended.
+// orphans returns the holders whose daemon incarnation has terminated.
 func (c *Coordinator) orphans(living *membership.Snapshot, now time.Time) []schedule.Holder {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var orphans []schedule.Holder
 	for _, cell := range c.cells {
 		for _, h := range cell.Holders() {
-			if c.orphaned(h, living, now) {
+			if c.isOrphan(h, living, now) {
 				orphans = append(orphans, h)
 			}
 		}
@@ -55,13 +57,14 @@
 	return orphans
 }
 
-// orphaned tells whether an incarnation has ended: another one lives, or none
-// does and it has been silent. One that the view has lost by mistake still
-// sends.
-func (c *Coordinator) orphaned(h schedule.Holder, living *membership.Snapshot, now time.Time) bool {
+// isOrphan reports whether an incarnation has terminated: a newer incarnation
+// of the host is alive, or the host is not alive and has no session or has sent
+// nothing for orphanTimeout. A daemon that is missing from the view by mistake
+// still sends batches and is kept.
+func (c *Coordinator) isOrphan(h schedule.Holder, living *membership.Snapshot, now time.Time) bool {
 	if host, ok := living.Find(membership.HostID(h.Host)); ok {
 		return host.Incarnation > h.Incarnation
 	}
 	s := c.sessions[sessionKey{h.Host, h.Incarnation}]
-	return s == nil || now.Sub(s.heard) >= orphanSilence
+	return s == nil || now.Sub(s.lastBatch) >= orphanTimeout
 }
--- a/internal/cell/plan.go
+++ b/internal/cell/plan.go
@@ -1,6 +1,7 @@
-// Package cell is the coordinator's side of the reservation protocol: it runs
-// the scheduler of each cell that this daemon coordinates and answers the
-// entry daemons that reserve places there.
+// Package cell implements the coordinator's side of the reservation protocol.
+// It divides the endpoints into cells, runs the scheduler of each cell that this
+// daemon coordinates, and answers the entry daemons (the daemons that receive
+// the callers' requests) that reserve slots on its endpoints.
 package cell
 
 import (
@@ -12,25 +13,25 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// ID names a cell, such as "model@region/0".
+// ID identifies a cell, for example "model@region/0".
 type ID string
 
-// DefaultSize is the largest number of endpoints in a cell unless the
-// settings say otherwise.
+// DefaultSize is the number of endpoints per cell if the settings do not
+// specify one.
 const DefaultSize = 32
 
-// Plan is a table's division into cells. It depends only on the table, so
-// that all daemons with the same table agree.
+// Plan assigns the endpoints of a table to cells. It depends only on the table
+// and the cell size, so all daemons with the same table compute the same plan.
 type Plan struct {
 	cells map[ID][]*table.Endpoint
 	pools map[table.Pool][]ID
-	// ids has all cells, sorted.
+	// ids lists all cells, sorted.
 	ids []ID
 }
 
 // NewPlan divides the endpoints of each pool and region into cells of about
-// size endpoints. An endpoint's cell depends on its name and the number of
-// cells only, so that most edits move no other endpoint.
+// size endpoints. An endpoint's cell depends only on its name and the number of
+// cells, so most edits of the table move no other endpoint to another cell.
 func NewPlan(t *table.Table, size int) *Plan {
 	type scope struct {
 		pool   table.Pool
@@ -62,7 +63,7 @@
 	return p
 }
 
-// Cells returns the cells of a pool in a fixed order.
+// Cells returns the cells of a pool, sorted by id.
 func (p *Plan) Cells(pool table.Pool) []ID { return p.pools[pool] }
 
 // Endpoints returns the endpoints of a cell.
@@ -71,7 +72,7 @@
 // All returns every cell, sorted by id.
 func (p *Plan) All() []ID { return p.ids }
 
-// Region returns the region of a cell; it is empty for an unknown one.
+// Region returns the region of a cell, or "" if the cell is unknown.
 func (p *Plan) Region(id ID) string {
 	endpoints := p.cells[id]
 	if len(endpoints) == 0 {
--- a/internal/cell/poll.go
+++ b/internal/cell/poll.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// loadInterval is the time between two polls of an engine's load.
+	// loadInterval is the interval at which the load of the engines is polled.
 	loadInterval = 500 * time.Millisecond
 	loadTimeout  = 400 * time.Millisecond
 )
 
-// LoadFunc asks an engine for its load. It returns engine.ErrNoLoad if the
-// engine answered but has none to report.
+// LoadFunc queries the load of an engine. It returns engine.ErrNoLoad if the
+// engine responded but does not report its load.
 type LoadFunc func(ctx context.Context, e *table.Endpoint) (engine.Load, error)
 
-// loadReport is the answer of one engine.
+// loadReport is the result of polling one engine.
 type loadReport struct {
 	cell     ID
 	endpoint table.EndpointName
@@ -30,8 +30,8 @@
 	err      error
 }
 
-// Poll asks the engines of the coordinated cells for their load until ctx
-// ends.
+// Poll polls the load of the engines of the coordinated cells until ctx is
+// done.
 func (c *Coordinator) Poll(ctx context.Context, load LoadFunc) {
 	ticker := c.clock.NewTicker(loadInterval)
 	defer ticker.Stop()
@@ -45,7 +45,8 @@
 	}
 }
 
-// engines returns the engines of the coordinated cells.
+// engines returns the engines of the coordinated cells. It returns none for the
+// baseline disciplines, which do not use the load.
 func (c *Coordinator) engines() map[ID][]*table.Endpoint {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,8 +64,8 @@
 	return engines
 }
 
-// pollAll asks all engines at once, so that a silent one delays none but
-// itself.
+// pollAll polls all engines concurrently, so that one that does not respond
+// does not delay the others.
 func pollAll(ctx context.Context, engines map[ID][]*table.Endpoint, load LoadFunc) []loadReport {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
@@ -85,7 +86,7 @@
 	return reports
 }
 
-// observe gives load reports to the cells.
+// observe passes load reports to the schedulers of the cells.
 func (c *Coordinator) observe(reports []loadReport) {
 	c.mu.Lock()
 	for _, r := range reports {
@@ -104,5 +105,5 @@
 	}
 	out := c.step()
 	c.mu.Unlock()
-	out.deliver()
+	out.flush()
 }
--- a/internal/cell/poll_test.go
+++ b/internal/cell/poll_test.go
@@ -16,9 +16,10 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// An engine crashes while nothing is sent to it. The polls of its load find it
-// within two seconds; a silent engine delays the polls of none of the others,
-// and one that answers without a report is not taken for dead.
+// An engine crashes while no requests are sent to it. Load polling must detect
+// this within two seconds. An engine that does not respond must not delay the
+// polling of the others, and one that responds without a load report must not
+// be ejected.
 func TestPollFindsCrashedEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tbl := &table.Table{Classes: []table.Class{{Name: "slots", Weight: 1, Pools: []table.Pool{"model"}}}}
@@ -46,14 +47,14 @@
 		for _, e := range c.Status().Cells[0].Endpoints {
 			got[e.Endpoint] = e.Ejected
 			if e.Endpoint == "well" && e.Foreign != 2 {
-				t.Errorf("%d foreign requests, want 2", e.Foreign)
+				t.Errorf("engine \"well\" has %d requests of other senders, want 2", e.Foreign)
 			}
 		}
 		for name, want := range map[schedule.Endpoint]schedule.EjectReason{
 			"crashed": schedule.EjectedFailed, "silent": schedule.EjectedFailed, "reportless": "", "well": "",
 		} {
 			if got[name] != want {
-				t.Errorf("%s is ejected for %q, want %q", name, got[name], want)
+				t.Errorf("engine %s: eject reason %q, want %q", name, got[name], want)
 			}
 		}
 	})
--- a/internal/cell/ranking.go
+++ b/internal/cell/ranking.go
@@ -7,9 +7,9 @@
 	"github.com/beechhead/beechhead/internal/membership"
 )
 
-// Ranking orders the hosts that take work by their rendezvous score for each
-// cell. It computes an order once and keeps it while the hosts stay the same.
-// It is not safe for concurrent use.
+// Ranking orders the hosts that take work by their rendezvous hashing score for
+// each cell. It caches each order until the hosts change. It is not safe for
+// concurrent use.
 type Ranking struct {
 	hosts *membership.Snapshot
 	ranks map[ID][]membership.Host
@@ -20,8 +20,7 @@
 	return &Ranking{hosts: &membership.Snapshot{}, ranks: map[ID][]membership.Host{}}
 }
 
-// Update takes in the hosts that take work; true means that they are others
-// than before.
+// Update sets the hosts that take work. It reports whether they have changed.
 func (r *Ranking) Update(hosts *membership.Snapshot) (changed bool) {
 	if r.hosts == hosts {
 		return false
@@ -34,10 +33,11 @@
 // Hosts returns the hosts that take work.
 func (r *Ranking) Hosts() *membership.Snapshot { return r.hosts }
 
-// Rank returns the hosts for a cell, the coordinator first. Hosts of the
-// cell's own region come before all others, and capable ones before those that
-// carry much less: all requests of a cell pass through its coordinator, so that
-// a narrow link delays every one of them.
+// Rank returns the hosts in the order of preference for a cell; the first one is
+// its coordinator. Hosts in the cell's region come before all others. Within
+// both groups, hosts of high capacity come before those of much lower capacity:
+// all requests of a cell pass through its coordinator, so a low-bandwidth link
+// there would delay every one of them.
 func (r *Ranking) Rank(id ID, region string) []membership.Host {
 	if ranked, ok := r.ranks[id]; ok {
 		return ranked
@@ -45,13 +45,14 @@
 	ranked := membership.Rank(string(id), r.hosts.All())
 	most := membership.MostCapacity(ranked)
 	slices.SortStableFunc(ranked, func(a, b membership.Host) int {
-		return cmp.Or(foreign(a, region)-foreign(b, region), a.Weakness(most)-b.Weakness(most))
+		return cmp.Or(outsideRegion(a, region)-outsideRegion(b, region), a.Weakness(most)-b.Weakness(most))
 	})
 	r.ranks[id] = ranked
 	return ranked
 }
 
-func foreign(h membership.Host, region string) int {
+// outsideRegion returns 0 for a host in the region and 1 for any other host.
+func outsideRegion(h membership.Host, region string) int {
 	if h.Region == region {
 		return 0
 	}
--- a/internal/cell/ranking_test.go
+++ b/internal/cell/ranking_test.go
@@ -7,9 +7,9 @@
 	"github.com/beechhead/beechhead/internal/membership"
 )
 
-// All requests of a cell pass through its coordinator. On a host with a narrow
-// link every one of them is late, so that capable hosts come first; and where
-// all are alike, every host coordinates some cells.
+// All requests of a cell pass through its coordinator, so a coordinator with a
+// low-bandwidth link would delay every one of them. Hosts of high capacity must
+// rank first; if all capacities are equal, every host must coordinate some cells.
 func TestCapableHostsCoordinate(t *testing.T) {
 	hosts := func(capacity func(i int) uint32) []membership.Host {
 		var all []membership.Host
@@ -29,11 +29,11 @@
 	}
 	mixed := first(hosts(func(i int) uint32 { return map[bool]uint32{true: 600, false: 40}[i < 3] }))
 	if len(mixed) != 3 || mixed["host-0"] == 0 {
-		t.Errorf("cells are coordinated by %v", mixed)
+		t.Errorf("cells per coordinator are %v, want only the 3 hosts of high capacity", mixed)
 	}
 	for _, capacity := range []uint32{0, 200} {
 		if alike := first(hosts(func(int) uint32 { return capacity })); len(alike) != 12 {
-			t.Errorf("with equal capacities of %d, %d of 12 hosts coordinate", capacity, len(alike))
+			t.Errorf("with equal capacities of %d, %d of 12 hosts coordinate cells, want all", capacity, len(alike))
 		}
 	}
 }
--- a/internal/cell/recovery_test.go
+++ b/internal/cell/recovery_test.go
@@ -18,12 +18,13 @@
 	takeoverTick  = 25 * time.Millisecond
 )
 
-// takeover is a coordinator of a fleet whose hosts don't all report.
+// takeover is a new coordinator in a fleet where only some hosts report.
 type takeover struct {
 	*Coordinator
 	clock *clockwork.FakeClock
 	hosts *membership.Snapshot
-	// granted has when each request got its place, by its sequence.
+	// granted maps the sequence number of each request to the time at which it
+	// was granted a slot.
 	granted map[uint64]time.Duration
 	began   time.Time
 }
@@ -34,7 +35,8 @@
 		Coordinator: NewCoordinator(clock, "host-00", DefaultSize, settings.PolicyCells),
 		clock:       clock, granted: map[uint64]time.Duration{}, began: clock.Now(),
 	}
-	// The coordinator is the only capable host, so that it has every cell.
+	// The coordinator is the only host of high capacity, so it coordinates every
+	// cell.
 	hosts := []membership.Host{{ID: "host-00", Incarnation: 1, State: membership.Ready, Region: "r", Capacity: 100}}
 	for i := 1; i < takeoverHosts; i++ {
 		hosts = append(hosts, membership.Host{ID: membership.HostID(fmt.Sprintf("host-%02d", i)), Incarnation: 1, State: membership.Ready, Region: "r", Capacity: 1})
@@ -79,9 +81,9 @@
 	}})
 }
 
-// Guards against the first requests of a pool waiting for reports that nobody
-// has: its endpoints registered after the hosts were known.
-func TestPoolThatComesLaterIsServedAtOnce(t *testing.T) {
+// The endpoints of a pool are registered after the hosts are known. The first
+// requests to the pool must not wait for reports, as no host has grants there.
+func TestPoolAddedLaterIsServedAtOnce(t *testing.T) {
 	c := newTakeover()
 	c.Configure(takeoverTable("early"))
 	c.run(time.Second)
@@ -90,27 +92,27 @@
 	asked := c.clock.Since(c.began)
 	c.reserve("host-07", 1, "late")
 	if at, ok := c.granted[1]; !ok || at > asked {
-		t.Errorf("asked at %v, granted at %v (%v)", asked, at, ok)
+		t.Errorf("reserved at %v, granted at %v (granted: %v), want granted at once", asked, at, ok)
 	}
 }
 
-// Guards against a takeover in a large fleet that waits for the reports of
-// hosts which have nothing to report.
-func TestTakeoverEndsWithTheReports(t *testing.T) {
+// In a large fleet, hosts without grants do not report. A new coordinator must
+// not wait for them until recoveryTimeout.
+func TestRecoveryEndsAfterLastReport(t *testing.T) {
 	c := newTakeover()
 	c.Configure(takeoverTable("pool"))
 	c.run(takeoverTick)
 	c.report("host-03", 3, "pool")
 	c.reserve("host-07", 7, "pool")
-	c.run(recoveryWait)
-	if at, ok := c.granted[7]; !ok || at > recoveryWait/2 {
-		t.Errorf("granted at %v (%v), the last report came at %v", at, ok, takeoverTick)
+	c.run(recoveryTimeout)
+	if at, ok := c.granted[7]; !ok || at > recoveryTimeout/2 {
+		t.Errorf("granted at %v (granted: %v), although the last report arrived at %v", at, ok, takeoverTick)
 	}
 }
 
-// Guards against a coordinator that grants while reports still come, and gives
-// places that are taken.
-func TestTakeoverWaitsWhileReportsCome(t *testing.T) {
+// A new coordinator must not grant while reports still arrive: it could grant
+// slots that are in use.
+func TestRecoveryWaitsWhileReportsArrive(t *testing.T) {
 	c := newTakeover()
 	c.Configure(takeoverTable("pool"))
 	c.run(takeoverTick)
@@ -120,8 +122,8 @@
 		c.report(fmt.Sprintf("host-%02d", 10+i), uint64(10+i), "pool")
 	}
 	last := c.clock.Since(c.began)
-	c.run(recoveryWait)
+	c.run(recoveryTimeout)
 	if at := c.granted[7]; at < last {
-		t.Errorf("granted at %v, a report came at %v", at, last)
+		t.Errorf("granted at %v, although a report arrived at %v", at, last)
 	}
 }
--- a/internal/cell/session.go
+++ b/internal/cell/session.go
@@ -13,37 +13,42 @@
 	incarnation uint64
 }
 
-// Session is the coordinator's end of one entry daemon's reservations. Its
-// fields belong to the coordinator's lock.
+// Session is the coordinator's side of the reservation stream of one entry
+// daemon. Its fields are guarded by the coordinator's mutex.
 type Session struct {
 	c    *Coordinator
 	key  sessionKey
 	send func(*peerv1.ReservationsResponse)
-	// forgotten says that the daemon's state was dropped meanwhile.
-	forgotten bool
-	// heard is when the last batch came.
-	heard time.Time
-	// begun says that a batch was acknowledged.
-	begun bool
-	// unacked is the last batch if it is still to be acknowledged, since the
-	// time unackedSince; owing says that the coordinator's list has the session.
-	unacked      uint64
-	unackedSince time.Time
-	owing        bool
+	// dropped reports whether the coordinator has dropped the daemon's state, so
+	// that the daemon must report it again.
+	dropped bool
+	// lastBatch is when the last batch arrived, or when the session was opened.
+	lastBatch time.Time
+	// acked reports whether a batch has been acknowledged.
+	acked bool
+	// unacked is the number of the last batch if it has not been acknowledged
+	// yet, else 0. unackedSince is when the first batch arrived that the next
+	// acknowledgement covers. inUnackedList reports whether the session is in
+	// the coordinator's list of unacknowledged sessions.
+	unacked       uint64
+	unackedSince  time.Time
+	inUnackedList bool
 }
 
-// ackDelay is how long an acknowledgement may wait for an answer that it can
-// travel with. It is far below the time after which a link counts as silent.
+// ackDelay is how long an acknowledgement is delayed so that it can be sent
+// with another response. It is far below the time after which a link counts as
+// silent.
 const ackDelay = 100 * time.Millisecond
 
-// Attach opens a session. The function send must not block.
+// Attach opens a session for the daemon named in hello. The function send must
+// not block.
 func (c *Coordinator) Attach(hello *peerv1.Hello, send func(*peerv1.ReservationsResponse)) *Session {
 	s := &Session{
 		c:    c,
 		key:  sessionKey{schedule.Host(hello.GetHost()), hello.GetIncarnation()},
 		send: send,
 
-		heard: c.clock.Now(),
+		lastBatch: c.clock.Now(),
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -51,8 +56,8 @@
 	return s
 }
 
-// Close ends the session. What it holds stays until its host is dropped or
-// opens a new session.
+// Close closes the session. The daemon's grants are kept until the host is
+// dropped or reports them again in a new session.
 func (s *Session) Close() {
 	s.c.mu.Lock()
 	defer s.c.mu.Unlock()
@@ -61,77 +66,80 @@
 	}
 }
 
-// Handle takes one batch of a session.
+// Handle processes one batch of the session.
 func (s *Session) Handle(req *peerv1.ReservationsRequest) {
 	c := s.c
 	c.mu.Lock()
 	if c.sessions[s.key] != s {
-		// A newer session of the same daemon has taken over; what is left
-		// of this one was reported there.
+		// A newer session of the same daemon has replaced this one, and the
+		// daemon has reported its state there.
 		c.mu.Unlock()
 		return
 	}
 	if c.plan == nil {
-		s.forgotten = true
+		s.dropped = true
 		c.mu.Unlock()
 		s.refuseAll(req)
 		return
 	}
-	s.heard = c.clock.Now()
-	reset := s.forgotten && !req.GetHoldingsComplete()
+	s.lastBatch = c.clock.Now()
+	reset := s.dropped && !req.GetHoldingsComplete()
 	if !reset {
-		s.take(req)
+		s.apply(req)
 	}
-	s.received(req.GetBatch())
+	s.trackUnacked(req.GetBatch())
 	out := c.step()
-	if !s.begun && s.unacked > 0 {
-		// The first acknowledgement tells that the coordinator is there.
-		out.to(s)
+	if !s.acked && s.unacked > 0 {
+		// The first acknowledgement is sent without delay: it tells the daemon
+		// that the coordinator is reachable.
+		out.response(s)
 	}
 	if reset {
-		// What the batch says comes again with the report. Taken now, it would
-		// stay for ever if the batch was on its way when its daemon ended.
-		out.to(s).Reset_ = true
+		// The daemon's next report repeats what this batch contains. If the
+		// batch was in transit when the daemon terminated, no report follows,
+		// and applying it now would leave its reservations behind forever.
+		out.response(s).Reset_ = true
 	}
 	c.mu.Unlock()
-	out.deliver()
+	out.flush()
 }
 
-// received notes a batch that is to be acknowledged.
-func (s *Session) received(batch uint64) {
+// trackUnacked records a batch that must be acknowledged.
+func (s *Session) trackUnacked(batch uint64) {
 	if batch == 0 {
 		return
 	}
 	if s.unacked == 0 {
-		s.unackedSince = s.heard
+		s.unackedSince = s.lastBatch
 	}
 	s.unacked = batch
-	if !s.owing {
-		s.owing = true
-		s.c.owing = append(s.c.owing, s)
+	if !s.inUnackedList {
+		s.inUnackedList = true
+		s.c.unackedSessions = append(s.c.unackedSessions, s)
 	}
 }
 
-// acknowledge sends the acknowledgements that have found no answer to travel
-// with. The caller holds the lock.
-func (c *Coordinator) acknowledge(out delivery) {
+// addDueAcks adds the acknowledgements that no response has carried within
+// ackDelay to out. The caller must hold the mutex.
+func (c *Coordinator) addDueAcks(out outbox) {
 	now := c.clock.Now()
-	c.owing = slices.DeleteFunc(c.owing, func(s *Session) bool {
+	c.unackedSessions = slices.DeleteFunc(c.unackedSessions, func(s *Session) bool {
 		if s.unacked > 0 && now.Sub(s.unackedSince) >= ackDelay && c.sessions[s.key] == s {
-			out.to(s)
+			out.response(s)
 		}
-		s.owing = s.unacked > 0 && c.sessions[s.key] == s
-		return !s.owing
+		s.inUnackedList = s.unacked > 0 && c.sessions[s.key] == s
+		return !s.inUnackedList
 	})
 }
 
-// take gives a batch to the cells. A batch may be merged from several, so a
-// reserve and its cancel can stand in one: cancels and releases come last.
-func (s *Session) take(req *peerv1.ReservationsRequest) {
+// apply applies a batch to the cells. A batch may have been merged from
+// several, so it can contain both a reservation and its cancellation; cancels
+// and releases are therefore applied after reservations.
+func (s *Session) apply(req *peerv1.ReservationsRequest) {
 	c := s.c
 	for _, h := range req.GetHoldings() {
 		cell := c.cell(ID(h.GetCell()))
-		cell.heard = s.heard
+		cell.lastReport = s.lastBatch
 		cell.Hold(s.holding(h))
 	}
 	for _, r := range req.GetReserves() {
@@ -152,7 +160,7 @@
 	}
 	for _, id := range req.GetReported() {
 		cell := c.cell(ID(id))
-		cell.heard = s.heard
+		cell.lastReport = s.lastBatch
 		cell.reported[s.key.host] = true
 	}
 	if req.GetHoldingsComplete() {
@@ -160,11 +168,11 @@
 	}
 }
 
-// reconcile takes a batch as the report of all that the daemon has here.
-// Releases and cancels may have been lost with an earlier connection; what the
-// report does not mention is over.
+// reconcile treats a batch as the complete state of the daemon at this
+// coordinator and drops everything that the batch does not contain: the
+// releases and cancels for it may have been lost with an earlier connection.
 func (s *Session) reconcile(req *peerv1.ReservationsRequest) {
-	s.forgotten = false
+	s.dropped = false
 	keep := map[schedule.RequestID]bool{}
 	for _, h := range req.GetHoldings() {
 		keep[s.id(h.GetSequence())] = true
@@ -178,8 +186,8 @@
 	}
 }
 
-// release ends a grant. The cell is not named if the entry daemon no longer
-// knows the request.
+// release ends a grant. If the message names no cell, because the entry daemon
+// no longer knows the request, the grant is looked up in all cells.
 func (s *Session) release(r *peerv1.Release) {
 	if r.GetCell() != "" {
 		s.c.cell(ID(r.GetCell())).Release(s.id(r.GetSequence()), report(r))
@@ -203,7 +211,8 @@
 	return schedule.RequestID{Host: s.key.host, Incarnation: s.key.incarnation, Sequence: seq}
 }
 
-// refuseAll answers reserves that come before any table is in force.
+// refuseAll refuses the reservations of a batch that arrives before the first
+// table is in force.
 func (s *Session) refuseAll(req *peerv1.ReservationsRequest) {
 	resp := &peerv1.ReservationsResponse{Acked: req.GetBatch()}
 	for _, r := range req.GetReserves() {
--- a/internal/cell/status.go
+++ b/internal/cell/status.go
@@ -7,7 +7,8 @@
 	"github.com/beechhead/beechhead/internal/schedule"
 )
 
-// Status is what operators see of the cells that this daemon runs.
+// Status is the status of the cells that this daemon coordinates, as shown to
+// operators.
 type Status struct {
 	Cells []OneStatus `json:"cells"`
 }
@@ -18,7 +19,7 @@
 	schedule.CellStatus
 }
 
-// Status returns the figures of every cell, sorted by id.
+// Status returns the status of every cell, sorted by id.
 func (c *Coordinator) Status() Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/cellhost/cellhost.go
+++ b/internal/cellhost/cellhost.go
@@ -1,5 +1,6 @@
-// Package cellhost is a daemon's part in placing requests: it answers as the
-// coordinator of some cells and has links to those of the others.
+// Package cellhost connects a daemon to the reservation protocol. It serves the
+// sessions of other daemons with the local coordinator and opens links to the
+// coordinators of other cells. It also detects that the daemon was paused.
 package cellhost
 
 import (
@@ -17,27 +18,28 @@
 	"github.com/beechhead/beechhead/internal/placement"
 )
 
-// pausedAfter is how late a tick must be for the daemon to count as having
-// been paused.
-const pausedAfter = time.Second
+// pauseThreshold is the time without a tick after which the daemon is assumed
+// to have been paused.
+const pauseThreshold = time.Second
 
-// Host joins a daemon's coordinator with its links. All fields must be set
-// before it is used. It is safe for concurrent use.
+// Host provides a daemon's coordinator to other daemons, and links to their
+// coordinators. All exported fields must be set before use. It is safe for
+// concurrent use.
 type Host struct {
 	Clock       clockwork.Clock
 	View        *membership.View
 	Peers       *peer.Pool
 	Coordinator *cell.Coordinator
 	Metrics     *metric.Registry
-	// Interval is the time between two ticks.
+	// Interval is the interval between calls of Ticked.
 	Interval time.Duration
-	// Refresh brings the view up to date.
+	// Refresh updates the membership view by asking the peers.
 	Refresh func(context.Context)
 
-	pauses pauses
+	pauses pauseDetector
 }
 
-// Attach opens another daemon's session with this coordinator.
+// Attach opens a session of another daemon with the local coordinator.
 func (h *Host) Attach(hello *peerv1.Hello, send func(*peerv1.ReservationsResponse)) peer.Session {
 	s := h.Coordinator.Attach(hello, send)
 	handle := func(req *peerv1.ReservationsRequest) {
@@ -47,8 +49,9 @@
 	return peer.Session{Handle: handle, Close: s.Close}
 }
 
-// Dial opens a link to a coordinator, which may be this daemon. Each link has
-// a connection of its own: a new link replaces a connection that is silent.
+// Dial opens a link to the coordinator on host, which may be this daemon itself.
+// Each link has its own connection, because a new link is opened to replace one
+// whose connection has gone silent.
 func (h *Host) Dial(host membership.Host, handle func(*peerv1.ReservationsResponse)) placement.Link {
 	self := h.View.Self()
 	hello := &peerv1.Hello{Host: string(self.ID), Incarnation: self.Incarnation}
@@ -64,45 +67,47 @@
 	return placement.Link{Send: s.Send, Done: s.Done(), Close: s.Close}
 }
 
-// loopback is the link to this daemon's own coordinator. Requests are queued
-// without a bound, because the placer sends them with its lock held, which the
-// answers need as well.
+// loopback returns a link to the local coordinator. Its queue is unbounded: the
+// placer sends while it holds its mutex, which processing the responses also
+// needs, so a full queue would cause a deadlock.
 func (h *Host) loopback(hello *peerv1.Hello, handle func(*peerv1.ReservationsResponse)) placement.Link {
 	session := h.Coordinator.Attach(hello, handle)
-	awake := func(req *peerv1.ReservationsRequest) {
+	handleAfterTick := func(req *peerv1.ReservationsRequest) {
 		h.awaitTick(context.Background())
 		session.Handle(req)
 	}
-	q := peer.NewQueue(awake, session.Close)
+	q := peer.NewQueue(handleAfterTick, session.Close)
 	return placement.Link{Send: q.Send, Done: q.Done(), Close: q.Close}
 }
 
-// pauses finds out whether this daemon was paused: stopped by its machine or
-// starved of processor time. It wakes with a view that is as old as the pause
-// was long, believing itself the coordinator of cells that others have taken
-// over. Until it has asked its peers it must not grant.
-type pauses struct {
+// pauseDetector detects that the daemon was paused, either suspended by its
+// machine or starved of CPU time. After a pause, its membership view is as old as
+// the pause was long, and it may still act as the coordinator of cells that other
+// daemons have taken over. It must not grant slots before it has updated the
+// view from its peers.
+type pauseDetector struct {
 	mu sync.Mutex
-	// last is when the last tick ended, and zero before the first.
-	last time.Time
+	// lastTick is when Ticked was last called; zero before the first call.
+	lastTick time.Time
 }
 
-// suspected tells whether the last tick is too long ago.
-func (p *pauses) suspected(clock clockwork.Clock) bool {
+// suspected reports whether the last tick was more than pauseThreshold ago.
+func (p *pauseDetector) suspected(clock clockwork.Clock) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !p.last.IsZero() && clock.Since(p.last) > pausedAfter
+	return !p.lastTick.IsZero() && clock.Since(p.lastTick) > pauseThreshold
 }
 
-// Ticked notes that the daemon runs.
+// Ticked records that the daemon is running. It must be called at the end of each
+// tick, after RefreshAfterPause.
 func (h *Host) Ticked() {
 	h.pauses.mu.Lock()
 	defer h.pauses.mu.Unlock()
-	h.pauses.last = h.Clock.Now()
+	h.pauses.lastTick = h.Clock.Now()
 }
 
-// RefreshAfterPause brings the view up to date if the daemon was paused, and
-// tells whether it was.
+// RefreshAfterPause updates the membership view if the daemon was paused. It
+// reports whether it was.
 func (h *Host) RefreshAfterPause(ctx context.Context) bool {
 	if !h.pauses.suspected(h.Clock) {
 		return false
@@ -113,16 +118,17 @@
 	return true
 }
 
-// SweepOrphans drops what daemons hold here that have ended.
+// SweepOrphans drops the grants and waiting requests of terminated daemons from
+// the local coordinator.
 func (h *Host) SweepOrphans() {
 	if n := h.Coordinator.Sweep(h.View.Hosts); n > 0 {
 		h.Metrics.Add("cells.orphansDropped", int64(n))
 	}
 }
 
-// awaitTick returns once the daemon has found out about a pause, if there was
-// one. What comes from entry daemons waits here, so that nothing is granted on
-// a view from before the pause.
+// awaitTick blocks after a pause of the daemon until the next tick has completed
+// or ctx is done. Batches of entry daemons wait here, so that no slot is granted
+// based on a membership view from before the pause.
 func (h *Host) awaitTick(ctx context.Context) {
 	for h.pauses.suspected(h.Clock) {
 		select {
--- a/internal/cellhost/cellhost_test.go
+++ b/internal/cellhost/cellhost_test.go
@@ -8,14 +8,15 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// A daemon is stopped for seconds and goes on. What was sent to it meanwhile
-// must wait until it has asked its peers, which the next tick does; otherwise
-// it grants places as the coordinator that it no longer is.
+// A daemon is suspended for seconds and then resumed. Batches that were sent to
+// it in the meantime must wait for the next tick, which updates its membership
+// view. Otherwise it grants slots although another daemon coordinates the cell
+// by now.
 func TestBatchesWaitAfterPause(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	h := &Host{Clock: clock, Interval: 100 * time.Millisecond}
 	h.Ticked()
-	clock.Advance(pausedAfter)
+	clock.Advance(pauseThreshold)
 	h.awaitTick(context.Background())
 	clock.Advance(time.Millisecond)
 	passed := make(chan struct{})
@@ -28,7 +29,7 @@
 	}
 	select {
 	case <-passed:
-		t.Fatal("a batch passed before the tick")
+		t.Fatal("a batch was processed before the tick")
 	default:
 	}
 	h.Ticked()
--- a/internal/forward/completed_test.go
+++ b/internal/forward/completed_test.go
@@ -5,20 +5,21 @@
 	"testing"
 )
 
-// Guards against taking a request for one that endpoints complete when its
-// answer is a failure, or ends where an endpoint's end would end it too.
-func TestWhatCountsAsCompleted(t *testing.T) {
+// A request must not count as completed if its response is an error, or is
+// delimited by the end of the connection: it would look the same if the endpoint
+// terminated. Completed requests are not quarantined.
+func TestCompletedResponses(t *testing.T) {
 	for _, tt := range []struct {
 		name string
 		resp http.Response
 		want bool
 	}{
-		{"a length", http.Response{StatusCode: http.StatusOK, ContentLength: 3}, true},
-		{"chunks", http.Response{StatusCode: http.StatusOK, ContentLength: -1, TransferEncoding: []string{"chunked"}}, true},
-		{"the end of the connection", http.Response{StatusCode: http.StatusOK, ContentLength: -1}, false},
-		{"a failure", http.Response{StatusCode: http.StatusRequestEntityTooLarge, ContentLength: 3}, false},
+		{"content length", http.Response{StatusCode: http.StatusOK, ContentLength: 3}, true},
+		{"chunked", http.Response{StatusCode: http.StatusOK, ContentLength: -1, TransferEncoding: []string{"chunked"}}, true},
+		{"end of connection", http.Response{StatusCode: http.StatusOK, ContentLength: -1}, false},
+		{"error status", http.Response{StatusCode: http.StatusRequestEntityTooLarge, ContentLength: 3}, false},
 	} {
-		if got := done(&tt.resp).success; got != tt.want {
+		if got := forwardedResult(&tt.resp).completed; got != tt.want {
 			t.Errorf("%s: completed is %v, want %v", tt.name, got, tt.want)
 		}
 	}
--- a/internal/forward/left_test.go
+++ b/internal/forward/disconnect_test.go
@@ -19,9 +19,10 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// Guards against ends of endpoints that nobody notices because the caller had
-// left a moment before.
-func TestEndAfterTheCallerHasLeftIsNoticed(t *testing.T) {
+// An endpoint terminates right after the caller has disconnected. This must be
+// detected and counted against the request, so that the request is quarantined
+// after several endpoints have terminated.
+func TestEndpointTerminationAfterCallerDisconnects(t *testing.T) {
 	const endpoints = 3
 	s := &site{}
 	var listeners []net.Listener
@@ -66,7 +67,7 @@
 	}
 	for end := time.Now().Add(20 * time.Second); !f.Suspects.Kept(1); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the ends were not noticed")
+			t.Fatal("the request was not quarantined after its endpoints terminated")
 		}
 	}
 }
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -17,46 +17,51 @@
 )
 
 const (
-	// maxWhole is the size in bytes up to which an answer is gathered before
-	// it is passed on, so that one that breaks off can still be replaced.
-	maxWhole = 1 << 20
-	// silentTargets is after how many targets an endpoint that has sent
-	// nothing is given up, where the request may go on elsewhere. A busy
-	// endpoint takes long, and to ask another one then adds to the load.
-	silentTargets = 4
-	// minSilence bounds that from below: a lost packet takes as long.
+	// maxBuffered is the size in bytes up to which a response is buffered before
+	// it is forwarded, so that a truncated one can still be replaced by that of
+	// another attempt.
+	maxBuffered = 1 << 20
+	// targetsUntilSilent is the number of response time targets after which an
+	// endpoint that has sent nothing is given up, if the request can be retried
+	// at another one. It is above 1 because a busy endpoint responds late, and
+	// retries would then add to the load.
+	targetsUntilSilent = 4
+	// minSilence is the lower limit of these timeouts: recovery from a lost
+	// packet takes that long.
 	minSilence = 1200 * time.Millisecond
-	// silentPauses is the same for the pause between events.
-	silentPauses = 4
+	// gapsUntilSilent is the number of target gaps between events after which an
+	// endpoint that has sent no further event is given up.
+	gapsUntilSilent = 4
 )
 
 var errUnsigned = errors.New("a success without the endpoint's signature")
 
-// failure is an end after which the endpoint may have run the request.
-func failure(reason outcome.Reason, err error) end {
-	return end{err: err, reason: reason, ran: true, report: peerv1.ReleaseOutcome_RELEASE_OUTCOME_ENDPOINT_FAILED}
+// failedResult returns the result of an attempt that failed after the endpoint
+// may have run the request.
+func failedResult(reason outcome.Reason, err error) attemptResult {
+	return attemptResult{err: err, reason: reason, mayHaveRun: true, report: peerv1.ReleaseOutcome_RELEASE_OUTCOME_ENDPOINT_FAILED}
 }
 
-// done is the end of an answer that was passed on whole. One that ends with its
-// connection does not tell an endpoint that has completed it from one that has
-// ended.
-func done(resp *http.Response) end {
+// forwardedResult returns the result of an attempt whose response was forwarded
+// completely. A response that is delimited by the end of its connection does not
+// count as completed: it looks the same if the endpoint terminates.
+func forwardedResult(resp *http.Response) attemptResult {
 	framed := resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
-	return end{success: framed && resp.StatusCode/100 == 2, report: peerv1.ReleaseOutcome_RELEASE_OUTCOME_DONE}
+	return attemptResult{completed: framed && resp.StatusCode/100 == 2, report: peerv1.ReleaseOutcome_RELEASE_OUTCOME_DONE}
 }
 
-// exchange reads the answer and passes it on.
-func (r *run) exchange(ctx context.Context, x *http1.Exchange, grant *placement.Grant) end {
-	x.Patience(r.patience(silentTargets * r.r.Objective))
-	resp, err := x.Response() //nolint:bodyclose // the exchange ends with its connection; closing the body would read it to its end
+// readResponse reads the response and forwards it.
+func (r *run) readResponse(ctx context.Context, x *http1.Exchange, grant *placement.Grant) attemptResult {
+	x.Patience(r.silenceTimeout(targetsUntilSilent * r.req.Objective))
+	resp, err := x.Response() //nolint:bodyclose // the exchange manages its connection; closing the body would read it to the end
 	if err != nil {
-		return failure(readReason(ctx, err), err)
+		return failedResult(readFailureReason(ctx, err), err)
 	}
 	verdict := r.f.Wire.Read(resp.StatusCode, resp.Header)
 	grant.Answered(verdict.Limit)
 	if verdict.NotRun {
 		r.discard(x, resp)
-		return end{
+		return attemptResult{
 			err:    errors.Errorf("refused with status %d", resp.StatusCode),
 			reason: outcome.ReasonEndpointRefused,
 			report: peerv1.ReleaseOutcome_RELEASE_OUTCOME_REFUSED_BY_ENDPOINT,
@@ -65,63 +70,64 @@
 	success := resp.StatusCode/100 == 2
 	switch {
 	case success && !verdict.Signed:
-		return failure(outcome.ReasonWrongAnswer, errUnsigned)
-	case success && r.r.Kind == catalog.Stream:
-		return r.stream(ctx, x, resp, grant)
+		return failedResult(outcome.ReasonWrongAnswer, errUnsigned)
+	case success && r.req.Kind == catalog.Stream:
+		return r.forwardStream(ctx, x, resp, grant)
 	}
-	return r.whole(ctx, x, resp)
+	return r.forwardWhole(ctx, x, resp)
 }
 
-// discard reads what is left of a short answer, so that its connection can be
-// used again.
+// discard reads the rest of a short response, so that its connection can be
+// reused.
 func (r *run) discard(x *http1.Exchange, resp *http.Response) {
-	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxWhole)); err != nil {
+	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxBuffered)); err != nil {
 		x.Abort()
 		return
 	}
 	x.Finish()
 }
 
-// patience returns how long to wait for an endpoint that is silent. Requests
-// that can't go on elsewhere wait to their end: silence is no reason to end an
-// answer that may still come.
-func (r *run) patience(d time.Duration) time.Duration {
-	if !r.r.repeatable() || r.ran+1 >= r.r.Attempts || d == 0 {
+// silenceTimeout returns how long to wait for an endpoint that sends nothing, at
+// least minSilence. It returns 0, no limit, for requests that can't be retried at
+// another endpoint: they wait until their deadline, since the response may still
+// arrive.
+func (r *run) silenceTimeout(d time.Duration) time.Duration {
+	if !r.req.repeatable() || r.mayHaveRun+1 >= r.req.Attempts || d == 0 {
 		return 0
 	}
 	return max(d, minSilence)
 }
 
-// whole passes on an answer that is not a stream.
-func (r *run) whole(ctx context.Context, x *http1.Exchange, resp *http.Response) end {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxWhole))
+// forwardWhole forwards a response that is not a stream.
+func (r *run) forwardWhole(ctx context.Context, x *http1.Exchange, resp *http.Response) attemptResult {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBuffered))
 	if err != nil {
-		return failure(readReason(ctx, err), err)
+		return failedResult(readFailureReason(ctx, err), err)
 	}
-	a := &answer{status: resp.StatusCode, header: resp.Header, body: body}
-	if len(body) == maxWhole {
-		return r.long(ctx, x, resp, a)
+	a := &response{status: resp.StatusCode, header: resp.Header, body: body}
+	if len(body) == maxBuffered {
+		return r.forwardLong(ctx, x, resp, a)
 	}
 	x.Finish()
 	if resp.StatusCode/100 == 5 || r.f.Wire.Promises(resp.StatusCode) {
-		r.answer = a
-		return failure(outcome.ReasonEndpointFailed, errors.Errorf("status %d", resp.StatusCode))
+		r.errorResponse = a
+		return failedResult(outcome.ReasonEndpointFailed, errors.Errorf("status %d", resp.StatusCode))
 	}
-	r.begun = true
-	if err := r.passAnswer(a); err != nil {
-		return end{err: err, reason: outcome.ReasonCallerGone, ran: true, report: peerv1.ReleaseOutcome_RELEASE_OUTCOME_CALLER_GONE}
+	r.headSent = true
+	if err := r.forwardResponse(a); err != nil {
+		return attemptResult{err: err, reason: outcome.ReasonCallerGone, mayHaveRun: true, report: peerv1.ReleaseOutcome_RELEASE_OUTCOME_CALLER_GONE}
 	}
-	return done(resp)
+	return forwardedResult(resp)
 }
 
-// long passes on an answer that is too long to be gathered.
-func (r *run) long(ctx context.Context, x *http1.Exchange, resp *http.Response, a *answer) end {
-	r.begun = true
+// forwardLong forwards a response that is too long to be buffered.
+func (r *run) forwardLong(ctx context.Context, x *http1.Exchange, resp *http.Response, a *response) attemptResult {
+	r.headSent = true
 	r.sink.Head(a.status, a.header, resp.ContentLength)
 	buf := a.body
 	for {
 		if err := r.sink.Body(buf); err != nil {
-			return end{err: err, reason: outcome.ReasonCallerGone, ran: true, report: peerv1.ReleaseOutcome_RELEASE_OUTCOME_CALLER_GONE}
+			return attemptResult{err: err, reason: outcome.ReasonCallerGone, mayHaveRun: true, report: peerv1.ReleaseOutcome_RELEASE_OUTCOME_CALLER_GONE}
 		}
 		n, err := resp.Body.Read(a.body[:cap(a.body)])
 		buf = a.body[:n]
@@ -129,18 +135,18 @@
 		case err == nil:
 		case errors.Is(err, io.EOF):
 			if err := r.sink.Body(buf); err != nil {
-				return failure(outcome.ReasonCallerGone, err)
+				return failedResult(outcome.ReasonCallerGone, err)
 			}
 			x.Finish()
-			return done(resp)
+			return forwardedResult(resp)
 		default:
-			return failure(readReason(ctx, err), err)
+			return failedResult(readFailureReason(ctx, err), err)
 		}
 	}
 }
 
-// readReason tells why reading an answer failed.
-func readReason(ctx context.Context, err error) outcome.Reason {
+// readFailureReason returns the reason why reading a response failed.
+func readFailureReason(ctx context.Context, err error) outcome.Reason {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return outcome.ReasonDeadline
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -1,6 +1,6 @@
-// Package forward runs requests that the product does not look into: it has
-// them placed, sends them to endpoints, passes whole answers and streams of
-// events on unchanged, and decides what may be sent once more.
+// Package forward proxies requests without interpreting their bodies. It reserves
+// a slot for each request, sends it to the endpoint, forwards responses and event
+// streams unchanged, and decides which requests may be retried.
 package forward
 
 import (
@@ -24,12 +24,13 @@
 
 // Request is one request of a caller.
 type Request struct {
-	// ID is the caller's; each of its attempts has another.
+	// ID is the request id of the caller, which differs for each repetition of
+	// a request.
 	ID string
-	// Fingerprint is the same for all attempts of a caller at one request.
+	// Fingerprint is the same for all repetitions of a request by a caller.
 	Fingerprint quarantine.Fingerprint
-	// Method, Target, Host and Body reach the endpoint unchanged. Header has
-	// what the caller sent, without what concerns one connection only.
+	// Method, Target, Host and Body are sent to the endpoint unchanged. Header
+	// holds the caller's headers without the hop-by-hop ones.
 	Method, Target, Host string
 	Header               http.Header
 	Body                 []byte
@@ -39,86 +40,93 @@
 	Account table.AccountName
 	Tier    table.Tier
 	Kind    catalog.Kind
-	// Resumable streams may go on at another endpoint.
+	// Resumable streams can be continued at another endpoint.
 	Resumable bool
-	// Attempts bounds the endpoints that may run the request.
+	// Attempts is the maximum number of endpoints that may run the request.
 	Attempts int
-	// PromptTokens and OutputTokens are the caller's figures; zero if none.
+	// PromptTokens and OutputTokens are the numbers given by the caller; zero if
+	// none.
 	PromptTokens, OutputTokens int
 	Parts                      []placement.Part
-	// Objective is the promised time to the answer or its first event, Pause
-	// that between events; zero promises nothing.
+	// Objective is the target time to the response or its first event, Pause
+	// the target gap between two events; zero means no target.
 	Objective, Pause time.Duration
-	// Leaves is how long the caller waits for the answer to begin; zero is
+	// Leaves is how long the caller waits for the response to begin; zero means
 	// until End.
 	Leaves time.Duration
-	// LastEvent is the id of the last event that the caller has, if it resumes
-	// a stream.
+	// LastEvent is the id of the last event that the caller has received, if it
+	// resumes a stream.
 	LastEvent string
-	// Began is when the request came, End when the caller or the route's
-	// timeout ends it; both on the clock of the machine's start.
+	// Began is when the request arrived, End its deadline, set by the caller or
+	// by the route's timeout. Both are times since the machine was booted.
 	Began, End time.Duration
-	// Logged requests have their routine decisions logged.
+	// Logged enables logging of routine decisions for this request.
 	Logged bool
-	// MaySend is asked right before each send; a refusal ends the request.
+	// MaySend is called right before each attempt. If it returns a refusal, the
+	// request ends with it.
 	MaySend func() *outcome.Refusal
 }
 
-// repeatable tells whether a request may be sent again that may have run.
+// repeatable reports whether the request may be sent again although an endpoint
+// may have run it.
 func (r *Request) repeatable() bool { return r.Kind == catalog.Safe || r.Resumable }
 
-// Sink takes an answer.
+// Sink receives the response for the caller.
 type Sink struct {
-	// Head is called once, before any Body. The length is negative if it is
-	// unknown.
+	// Head is called once, before the first call of Body. The length is negative
+	// if it is unknown.
 	Head func(status int, header http.Header, length int64)
-	// Body passes bytes on at once.
+	// Body sends a part of the body to the caller without buffering it.
 	Body func(p []byte) error
 }
 
-// Send is one send of a request.
+// Send describes one attempt to send a request to an endpoint.
 type Send struct {
 	Request  *Request
 	Endpoint *table.Endpoint
-	// Left is what is left of the caller's time.
+	// Left is the time until the deadline of the request.
 	Left time.Duration
-	// LastEvent is the id of the last event that the caller has, or empty.
+	// LastEvent is the id of the last event that the caller has received, or "".
 	LastEvent string
-	// FetchFrom is the address of an engine that keeps parts of the prompt, or
-	// empty.
+	// FetchFrom is the address of an engine that has parts of the prompt in its
+	// KV cache, or "".
 	FetchFrom string
 }
 
-// Verdict is what an endpoint's answer says of itself.
+// Verdict holds what the head of an endpoint's response says.
 type Verdict struct {
-	// NotRun says that the endpoint has not run the request and never will.
+	// NotRun reports whether the endpoint guarantees that it has not run the
+	// request and will not run it.
 	NotRun bool
-	// Signed says that the answer bears the endpoint's signature.
+	// Signed reports whether the response carries the endpoint's signature.
 	Signed bool
-	// Limit is how many requests the endpoint says that it takes.
+	// Limit is the request rate limit that the endpoint announces.
 	Limit placement.Limit
 }
 
-// Wire has the names of the protocol towards endpoints.
+// Wire implements the headers and status codes of the protocol that endpoints
+// use.
 type Wire struct {
-	// Header returns the headers for one send.
+	// Header returns the request headers for one attempt.
 	Header func(s Send) http.Header
-	// Read tells what an answer's head says.
+	// Read interprets the head of a response.
 	Read func(status int, h http.Header) Verdict
-	// Mine tells whether an answer belongs to the request.
+	// Mine reports whether a response belongs to the request.
 	Mine func(r *Request, h http.Header) bool
-	// Promises tells whether a status says that a request was not run.
+	// Promises reports whether callers conclude from a status code that the
+	// request was not run.
 	Promises func(status int) bool
 }
 
-// Budget bounds what is sent beyond the first time to a pool.
+// Budget limits the retries to a pool. Add is called once for each request, Take
+// for each retry; a retry is allowed if Take returns true.
 type Budget interface {
 	Add()
 	Take() bool
 }
 
-// Forwarder runs requests. Fields must be set before it is used. It is safe
-// for concurrent use.
+// Forwarder forwards requests to endpoints. All fields must be set before use. It
+// is safe for concurrent use.
 type Forwarder struct {
 	Clock   clockwork.Clock
 	Boot    boottime.Clock
@@ -126,26 +134,28 @@
 	Metrics *metric.Registry
 	Pool    *http1.Pool
 	Wire    Wire
-	// Reserve asks for a place.
+	// Reserve reserves a slot on an endpoint.
 	Reserve func(ctx context.Context, r placement.Request) (*placement.Grant, error)
-	// Usable tells whether an endpoint still takes work, as this daemon knows.
+	// Usable reports whether, as far as this daemon knows, an endpoint still
+	// accepts work.
 	Usable func(e *table.Endpoint) bool
-	// Suspects has the requests under which endpoints have ended.
+	// Suspects lists the requests during which endpoints have terminated.
 	Suspects *quarantine.List
-	// Budget returns the budget of a pool.
+	// Budget returns the retry budget of a pool.
 	Budget func(pool table.Pool) Budget
 }
 
-// ErrBroken says that an answer broke off after its head was passed on. The
-// caller's connection must end so that the answer does not look complete.
-var ErrBroken = errors.New("the answer broke off")
+// ErrBroken reports that a response was truncated after its head was forwarded.
+// The caller's connection must be aborted, so that the response does not look
+// complete.
+var ErrBroken = errors.New("response truncated after its head was forwarded")
 
-// Do runs a request and passes its answer to the sink. The error is ErrBroken
-// or a refusal, which was not passed on yet.
+// Do runs a request and writes the response to the sink. The error is ErrBroken
+// or a refusal, for which nothing has been written to the sink.
 func (f *Forwarder) Do(ctx context.Context, r *Request, sink Sink) error {
 	ctx, cancel := context.WithTimeout(ctx, r.End-f.Boot.Now())
 	defer cancel()
-	run := &run{f: f, began: f.Clock.Now(), r: r, sink: sink, budget: f.Budget(r.Pool), lastEvent: r.LastEvent}
+	run := &run{f: f, began: f.Clock.Now(), req: r, sink: sink, budget: f.Budget(r.Pool), lastEvent: r.LastEvent}
 	run.budget.Add()
 	return run.do(ctx)
 }
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -29,35 +29,38 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// script is a case of testdata/attempts.json: what the endpoints do, one after
-// the other as they are tried, and what the caller and the endpoints see.
+// script is a test case of testdata/attempts.json: what the endpoints do, in the
+// order in which they are tried, and what the caller and the endpoints receive.
 type script struct {
 	Name      string
 	Kind      string
 	Resumable bool
 	Attempts  int
-	// Endpoints has what each answers; "" resets the connection, "ends" does so
-	// after it listens no more.
+	// Endpoints holds the response of each endpoint. "" resets the connection,
+	// "ends" closes the listener and resets the connection, and "nobody" means
+	// that nothing listens at the address.
 	Endpoints []string
-	// Budget is how many repeats are allowed.
+	// Budget is the number of retries that the retry budget allows.
 	Budget int
-	// Want is the body that the caller gets, or "notRun", "unknown" or
-	// "broken ..." with what it got before.
+	// Want is the body that the caller receives, after the status text if the
+	// status is not 200. For a refusal, it is "notRun" or "unknown"; for a
+	// truncated response, "broken " and the body received so far.
 	Want string
-	// Sent is how many endpoints the request reached.
+	// Sent is the number of endpoints that received the request.
 	Sent int
-	// Objective is the class's, in nanoseconds, LateLine whether the log has a
-	// line of the answer being late.
+	// Objective is the target time to the response in nanoseconds. LateLine
+	// reports whether a log line about a late response is expected.
 	Objective time.Duration
 	LateLine  bool
-	// Left is how many of the first endpoints leave, and KeyEnds whether the
-	// caller's key is taken away, while the connection is opened.
+	// Left is the number of endpoints, from the first, that stop accepting work
+	// while the connection is opened. KeyEnds reports whether the caller's key
+	// is revoked in that time.
 	Left    int
 	KeyEnds bool
 }
 
-// usable returns what tells of an endpoint whether it takes work: asked for a
-// second time, those that leave don't.
+// usable returns the function Forwarder.Usable of the test case. It returns false
+// for the endpoints counted by Left from its second call for an endpoint on.
 func (tt *script) usable() func(*table.Endpoint) bool {
 	asked := map[table.EndpointName]int{}
 	return func(e *table.Endpoint) bool {
@@ -66,6 +69,8 @@
 	}
 }
 
+// maySend returns the function Request.MaySend of the test case. If KeyEnds is
+// set, it refuses from its second call on.
 func (tt *script) maySend() func() *outcome.Refusal {
 	asked := 0
 	return func() *outcome.Refusal {
@@ -77,7 +82,7 @@
 	}
 }
 
-// fixedBudget allows a number of repeats.
+// fixedBudget allows a fixed number of retries.
 type fixedBudget struct{ left int }
 
 func (*fixedBudget) Add() {}
@@ -87,7 +92,7 @@
 	return b.left >= 0
 }
 
-// site has scripted endpoints and places requests on them in order.
+// site is a set of scripted endpoints, whose slots are granted in order.
 type site struct {
 	mu   sync.Mutex
 	next int
@@ -95,6 +100,8 @@
 	urls []string
 }
 
+// listen starts an endpoint that sends the given response on each connection; see
+// script.Endpoints for special values.
 func (s *site) listen(t *testing.T, answer string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -134,8 +141,8 @@
 	}()
 }
 
-// grants places each request on the next endpoint, by way of a placer whose
-// coordinator does just that.
+// reserve returns a function that reserves a slot on the next endpoint with the
+// placer p, or refuses the request when no endpoint is left.
 func (s *site) reserve(p *placement.Placer) func(context.Context, placement.Request) (*placement.Grant, error) {
 	return func(ctx context.Context, r placement.Request) (*placement.Grant, error) {
 		if s.next >= len(s.urls) {
@@ -145,7 +152,8 @@
 	}
 }
 
-// placer returns a placer whose coordinator grants the endpoints in turn.
+// placer returns a placer whose coordinator grants a slot on each endpoint in
+// turn.
 func (s *site) placer() *placement.Placer {
 	clock := clockwork.NewRealClock()
 	view := membership.NewView(clock, membership.Host{ID: "a", Incarnation: 1, State: membership.Ready})
@@ -171,6 +179,7 @@
 
 func endpointName(i int) table.EndpointName { return table.EndpointName(string(rune('a' + i))) }
 
+// take returns the name of the next endpoint.
 func (s *site) take() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -204,12 +213,14 @@
 		t.Run(tt.Name, func(t *testing.T) {
 			got, sent := tt.play(t)
 			if got != tt.Want || sent != tt.Sent {
-				t.Errorf("the caller gets %q after %d sends, want %q after %d", got, sent, tt.Want, tt.Sent)
+				t.Errorf("caller received %q and %d endpoints the request, want %q and %d", got, sent, tt.Want, tt.Sent)
 			}
 		})
 	}
 }
 
+// play runs the test case. It returns the result for the caller in the form of
+// script.Want, and the number of endpoints that received the request.
 func (tt *script) play(t *testing.T) (got string, sent int) {
 	s := &site{}
 	for _, answer := range tt.Endpoints {
@@ -247,7 +258,7 @@
 		Body: func(p []byte) error { body.Write(p); return nil },
 	})
 	if late := strings.Contains(log.String(), "answered late"); late != tt.LateLine {
-		t.Errorf("the log has a late answer: %v, want %v", late, tt.LateLine)
+		t.Errorf("log line about a late response: %v, want %v", late, tt.LateLine)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -9,38 +9,40 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// quarantined returns the refusal of a request that is kept back. It has no time
-// to come back after: a repeat would end as this one.
-func (r *run) quarantined() *outcome.Refusal {
-	if !r.f.Suspects.Kept(r.r.Fingerprint) {
+// checkQuarantine returns a refusal if the request is quarantined. It has no
+// Retry-After, because a retry would be refused as well.
+func (r *run) checkQuarantine() *outcome.Refusal {
+	if !r.f.Suspects.Kept(r.req.Fingerprint) {
 		return nil
 	}
-	r.f.Logger.Info("request kept back", "request", r.r.ID, "fingerprint", r.r.Fingerprint.String(), "class", r.r.Class)
+	r.f.Logger.Info("request kept back", "request", r.req.ID, "fingerprint", r.req.Fingerprint.String(), "class", r.req.Class)
 	return outcome.NotRunError(outcome.ReasonQuarantined, quarantine.Message)
 }
 
-// endpointEnded tells whether an endpoint ended while it had the request.
-func (r *run) endpointEnded(ctx context.Context, e end, endpoint *table.Endpoint) bool {
+// terminated reports whether the endpoint's process terminated while it ran the
+// request. If the request was aborted, it returns false and starts a later check.
+func (r *run) terminated(ctx context.Context, e attemptResult, endpoint *table.Endpoint) bool {
 	lost := e.reason == outcome.ReasonTruncated || e.reason == outcome.ReasonConnectionLost
 	switch {
-	case !e.ran:
+	case !e.mayHaveRun:
 		return false
 	case ctx.Err() != nil:
-		go r.f.lookAgain(r.r.Fingerprint, *endpoint)
+		go r.f.recheck(r.req.Fingerprint, *endpoint)
 		return false
 	}
 	return lost && r.f.Pool.Ended(ctx, address(endpoint))
 }
 
-// lookAgainAfter is when an endpoint is looked at again whose request was given
-// up: it may end a little later because of it, and is gone for longer.
-const lookAgainAfter = 500 * time.Millisecond
+// recheckDelay is how long after an aborted request its endpoint is checked. If
+// the request makes the endpoint terminate, that may happen a little later, and
+// the endpoint is then unavailable for longer than this.
+const recheckDelay = 500 * time.Millisecond
 
-// lookAgain finds out whether an endpoint has ended after a request there was
-// given up.
-func (f *Forwarder) lookAgain(request quarantine.Fingerprint, endpoint table.Endpoint) {
-	<-f.Clock.After(lookAgainAfter)
-	ctx, cancel := context.WithTimeout(context.Background(), lookAgainAfter)
+// recheck checks after recheckDelay whether an endpoint has terminated after a
+// request there was aborted, and records that for the quarantine.
+func (f *Forwarder) recheck(request quarantine.Fingerprint, endpoint table.Endpoint) {
+	<-f.Clock.After(recheckDelay)
+	ctx, cancel := context.WithTimeout(context.Background(), recheckDelay)
 	defer cancel()
 	if f.Pool.Alive(address(&endpoint)) || !f.Pool.Ended(ctx, address(&endpoint)) {
 		return
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -16,132 +16,138 @@
 )
 
 const (
-	// maxRefused bounds the sends of one request that end before it runs:
-	// endpoints that can't be reached, or that refuse it.
-	maxRefused = 4
-	// placeRetry is the pause before a place is asked for again when the
-	// coordinator named an endpoint that this daemon does not know yet.
-	placeRetry = 40 * time.Millisecond
-	// maxUnknown bounds that.
-	maxUnknown = 4
-	// defaultRetry is what callers are told to wait where nothing is known.
-	defaultRetry = 500 * time.Millisecond
+	// maxNotRun is the maximum number of attempts of a request at endpoints that
+	// certainly did not run it, because they could not be reached or refused it.
+	maxNotRun = 4
+	// staleRetryDelay is the delay before a slot is reserved again after a
+	// refusal that may be due to different table versions at this daemon and
+	// the coordinator: one does not know an endpoint or a class yet.
+	staleRetryDelay = 40 * time.Millisecond
+	// maxStaleRetries is the maximum number of such retries for one request.
+	maxStaleRetries = 4
+	// defaultRetryAfter is the Retry-After time of refusals by this package.
+	defaultRetryAfter = 500 * time.Millisecond
 )
 
-// run is the progress of one request over its attempts.
+// run is the state of one request across its attempts.
 type run struct {
 	f      *Forwarder
-	r      *Request
+	req    *Request
 	sink   Sink
 	budget Budget
 
 	began time.Time
-	// ran counts the endpoints that may have run the request, refused those
-	// that certainly have not.
-	ran, refused int
-	// unknown counts the places on endpoints that are not known here.
-	unknown int
-	failed  []table.EndpointName
-	// begun says that the head of an answer was passed on.
-	begun bool
-	// lastEvent is the id of the last event that the caller has.
+	// mayHaveRun counts the failed attempts in which the endpoint may have run
+	// the request, notRun those in which it certainly has not.
+	mayHaveRun, notRun int
+	// staleRetries counts the reservations that were repeated after a refusal
+	// that may be due to different table versions.
+	staleRetries int
+	failed       []table.EndpointName
+	// headSent reports whether the head of a response was forwarded.
+	headSent bool
+	// lastEvent is the id of the last event that the caller has received.
 	lastEvent string
 	events    int
-	// first is the time to the first event, waited that to the last place.
-	first, waited time.Duration
-	// answer is an endpoint's own failure, to be passed on if nothing better
-	// comes.
-	answer *answer
+	// firstEvent is the time until the first event, slotWait the time until the
+	// last slot was granted; both since began.
+	firstEvent, slotWait time.Duration
+	// errorResponse is the last error response of an endpoint. It is forwarded
+	// if no later attempt succeeds.
+	errorResponse *response
 }
 
-// answer is a whole answer.
-type answer struct {
+// response is a complete response.
+type response struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// end is how an attempt ended.
-type end struct {
-	// err is nil if the answer was passed on whole.
+// attemptResult describes how an attempt ended.
+type attemptResult struct {
+	// err is nil if the response was forwarded completely.
 	err    error
 	reason outcome.Reason
-	// ran says that the endpoint may have run the request.
-	ran bool
-	// ended says that the endpoint itself ended, and not only the connection.
-	ended bool
-	// success says that the endpoint has completed the request.
-	success bool
-	// report tells the coordinator.
+	// mayHaveRun reports whether the endpoint may have run the request.
+	mayHaveRun bool
+	// terminated reports whether the endpoint's process terminated, rather than
+	// only the connection being lost.
+	terminated bool
+	// completed reports whether the endpoint has completed the request.
+	completed bool
+	// report is the outcome that is reported to the coordinator.
 	report peerv1.ReleaseOutcome
 }
 
 func (r *run) do(ctx context.Context) error {
-	if refusal := r.quarantined(); refusal != nil {
+	if refusal := r.checkQuarantine(); refusal != nil {
 		return refusal
 	}
 	for {
 		grant, err := r.reserve(ctx)
 		if err != nil {
-			return r.noPlace(ctx, err)
+			return r.failReserve(ctx, err)
 		}
 		began := r.f.Clock.Now()
 		e := r.attempt(ctx, grant)
 		grant.Release(placement.Report{Outcome: e.report, Duration: r.f.Clock.Since(began), Tokens: r.events})
 		if e.err == nil {
-			r.answered(grant, e)
+			r.recordAnswered(grant, e)
 			return nil
 		}
-		r.count(grant, e)
-		if !r.mayGoOn(ctx, e) {
-			return r.final(ctx, e)
+		r.recordFailure(grant, e)
+		if !r.mayRetry(ctx, e) {
+			return r.failAttempts(ctx, e)
 		}
 	}
 }
 
-// placed notes that the request got a place.
-func (r *run) placed(grant *placement.Grant) {
+// recordPlaced records metrics and a log line for a granted slot.
+func (r *run) recordPlaced(grant *placement.Grant) {
 	waited := r.f.Clock.Since(r.began)
-	r.waited = waited
-	r.f.Metrics.ObserveClass("wait.ms", string(r.r.Class), waited.Milliseconds())
-	if !r.r.Logged {
+	r.slotWait = waited
+	r.f.Metrics.ObserveClass("wait.ms", string(r.req.Class), waited.Milliseconds())
+	if !r.req.Logged {
 		return
 	}
 	fetchFrom := table.EndpointName("")
 	if grant.FetchFrom != nil {
 		fetchFrom = grant.FetchFrom.Name
 	}
-	r.f.Logger.Info("placed", "request", r.r.ID, "fingerprint", r.r.Fingerprint.String(), "class", r.r.Class, "account", r.r.Account, "endpoint", grant.Endpoint.Name,
-		"coordinator", grant.Coordinator(), "fetchFrom", fetchFrom, "attempt", r.ran+r.refused, "waitMs", waited.Milliseconds(),
-		"leftMs", (r.r.End - r.f.Boot.Now()).Milliseconds(), "promptTokens", r.r.PromptTokens,
+	r.f.Logger.Info("placed", "request", r.req.ID, "fingerprint", r.req.Fingerprint.String(), "class", r.req.Class, "account", r.req.Account, "endpoint", grant.Endpoint.Name,
+		"coordinator", grant.Coordinator(), "fetchFrom", fetchFrom, "attempt", r.mayHaveRun+r.notRun, "waitMs", waited.Milliseconds(),
+		"leftMs", (r.req.End - r.f.Boot.Now()).Milliseconds(), "promptTokens", r.req.PromptTokens,
 		"backlogMs", grant.Choice.Backlog.Milliseconds(), "unreadMs", grant.Choice.Unread.Milliseconds(), "decode", grant.Choice.Decode)
 }
 
-// answered notes that the answer was passed on whole.
-func (r *run) answered(grant *placement.Grant, e end) {
-	if e.success {
-		r.f.Suspects.Completed(r.r.Fingerprint)
+// recordAnswered records metrics and a log line for a response that was forwarded
+// completely.
+func (r *run) recordAnswered(grant *placement.Grant, e attemptResult) {
+	if e.completed {
+		r.f.Suspects.Completed(r.req.Fingerprint)
 	}
 	took := r.f.Clock.Since(r.began)
-	r.f.Metrics.ObserveClass("answer.ms", string(r.r.Class), took.Milliseconds())
+	r.f.Metrics.ObserveClass("answer.ms", string(r.req.Class), took.Milliseconds())
 	pause, at := grant.LongestPause()
 	if r.events > 0 {
-		r.f.Metrics.ObserveClass("firstEvent.ms", string(r.r.Class), r.first.Milliseconds())
-		r.f.Metrics.ObserveClass("pause.ms", string(r.r.Class), pause.Milliseconds())
-		r.late(grant, pause, at)
+		r.f.Metrics.ObserveClass("firstEvent.ms", string(r.req.Class), r.firstEvent.Milliseconds())
+		r.f.Metrics.ObserveClass("pause.ms", string(r.req.Class), pause.Milliseconds())
+		r.recordLate(grant, pause, at)
 	}
-	if r.r.Logged {
-		r.f.Logger.Info("answered", "request", r.r.ID, "class", r.r.Class, "endpoint", grant.Endpoint.Name,
-			"attempts", r.ran+r.refused+1, "events", r.events, "firstEventMs", r.first.Milliseconds(),
+	if r.req.Logged {
+		r.f.Logger.Info("answered", "request", r.req.ID, "class", r.req.Class, "endpoint", grant.Endpoint.Name,
+			"attempts", r.mayHaveRun+r.notRun+1, "events", r.events, "firstEventMs", r.firstEvent.Milliseconds(),
 			"longestPauseMs", pause.Milliseconds(), "longestPauseEvent", at, "tookMs", took.Milliseconds())
 	}
 }
 
-// late notes that a stream began late or paused for too long, with what its
-// place was chosen by, whether or not the request's other lines are logged.
-func (r *run) late(grant *placement.Grant, pause time.Duration, at int) {
-	beganLate := r.r.Objective > 0 && r.first > r.r.Objective
-	pausedLong := r.r.Pause > 0 && pause > r.r.Pause
+// recordLate records whether a stream began late or had too long a gap. The log
+// line includes the data by which the endpoint was chosen, and is written even if
+// Logged is not set.
+func (r *run) recordLate(grant *placement.Grant, pause time.Duration, at int) {
+	beganLate := r.req.Objective > 0 && r.firstEvent > r.req.Objective
+	pausedLong := r.req.Pause > 0 && pause > r.req.Pause
 	if !beganLate && !pausedLong {
 		return
 	}
@@ -151,60 +157,61 @@
 	if pausedLong {
 		r.f.Metrics.Inc("late.pause")
 	}
-	r.f.Logger.Info("answered late", "request", r.r.ID, "class", r.r.Class, "endpoint", grant.Endpoint.Name,
-		"coordinator", grant.Coordinator(), "attempts", r.ran+r.refused+1,
-		"firstEventMs", r.first.Milliseconds(), "targetMs", r.r.Objective.Milliseconds(),
-		"longestPauseMs", pause.Milliseconds(), "longestPauseEvent", at, "pauseAllowedMs", r.r.Pause.Milliseconds(),
-		"waitMs", r.waited.Milliseconds(), "backlogMs", grant.Choice.Backlog.Milliseconds(),
-		"unreadMs", grant.Choice.Unread.Milliseconds(), "decode", grant.Choice.Decode, "promptTokens", r.r.PromptTokens)
+	r.f.Logger.Info("answered late", "request", r.req.ID, "class", r.req.Class, "endpoint", grant.Endpoint.Name,
+		"coordinator", grant.Coordinator(), "attempts", r.mayHaveRun+r.notRun+1,
+		"firstEventMs", r.firstEvent.Milliseconds(), "targetMs", r.req.Objective.Milliseconds(),
+		"longestPauseMs", pause.Milliseconds(), "longestPauseEvent", at, "pauseAllowedMs", r.req.Pause.Milliseconds(),
+		"waitMs", r.slotWait.Milliseconds(), "backlogMs", grant.Choice.Backlog.Milliseconds(),
+		"unreadMs", grant.Choice.Unread.Milliseconds(), "decode", grant.Choice.Decode, "promptTokens", r.req.PromptTokens)
 }
 
-// count books a failed attempt.
-func (r *run) count(grant *placement.Grant, e end) {
+// recordFailure records a failed attempt.
+func (r *run) recordFailure(grant *placement.Grant, e attemptResult) {
 	r.failed = append(r.failed, grant.Endpoint.Name)
-	if e.ran {
-		r.ran++
+	if e.mayHaveRun {
+		r.mayHaveRun++
 	} else {
-		r.refused++
+		r.notRun++
 	}
 	r.f.Metrics.Inc("attempts." + string(e.reason))
-	if e.ended {
+	if e.terminated {
 		r.f.Metrics.Inc("attempts.endpointEnded")
-		r.f.Suspects.Ended(r.r.Fingerprint, grant.Endpoint.Name)
+		r.f.Suspects.Ended(r.req.Fingerprint, grant.Endpoint.Name)
 	}
-	r.f.Logger.Info("attempt failed", "request", r.r.ID, "class", r.r.Class, "endpoint", grant.Endpoint.Name,
-		"fingerprint", r.r.Fingerprint.String(), "coordinator", grant.Coordinator(),
-		"reason", e.reason, "mayHaveRun", e.ran, "endpointEnded", e.ended, "events", r.events,
+	r.f.Logger.Info("attempt failed", "request", r.req.ID, "class", r.req.Class, "endpoint", grant.Endpoint.Name,
+		"fingerprint", r.req.Fingerprint.String(), "coordinator", grant.Coordinator(),
+		"reason", e.reason, "mayHaveRun", e.mayHaveRun, "endpointEnded", e.terminated, "events", r.events,
 		"sinceBeginMs", r.f.Clock.Since(r.began).Milliseconds(), "cause", e.err.Error())
 }
 
-// reserve asks for a place on an endpoint that this daemon knows to take work.
+// reserve reserves a slot on an endpoint that, as far as this daemon knows,
+// accepts work.
 func (r *run) reserve(ctx context.Context) (*placement.Grant, error) {
 	for {
 		grant, err := r.f.Reserve(ctx, placement.Request{
-			Pool:            r.r.Pool,
-			Class:           r.r.Class,
-			Account:         r.r.Account,
-			PromptTokens:    r.r.PromptTokens,
-			EstimatedTokens: r.r.OutputTokens,
-			Parts:           r.r.Parts,
-			Waited:          r.f.Boot.Now() - r.r.Began,
-			Useful:          r.useful(),
+			Pool:            r.req.Pool,
+			Class:           r.req.Class,
+			Account:         r.req.Account,
+			PromptTokens:    r.req.PromptTokens,
+			EstimatedTokens: r.req.OutputTokens,
+			Parts:           r.req.Parts,
+			Waited:          r.f.Boot.Now() - r.req.Began,
+			Useful:          r.startLimit(),
 			Excluded:        r.failed,
-			Attempt:         r.ran + r.refused,
+			Attempt:         r.mayHaveRun + r.notRun,
 		})
 		if err != nil {
-			if !r.awaitEndpoint(ctx, err) {
+			if !r.awaitTable(ctx, err) {
 				return nil, err
 			}
 			continue
 		}
-		if refusal := r.maySend(); refusal != nil {
+		if refusal := r.checkSend(); refusal != nil {
 			grant.Release(placement.Report{Outcome: peerv1.ReleaseOutcome_RELEASE_OUTCOME_CALLER_GONE})
 			return nil, refusal
 		}
 		if r.f.Usable(&grant.Endpoint) {
-			r.placed(grant)
+			r.recordPlaced(grant)
 			return grant, nil
 		}
 		grant.Release(placement.Report{Outcome: peerv1.ReleaseOutcome_RELEASE_OUTCOME_CALLER_GONE})
@@ -213,53 +220,58 @@
 	}
 }
 
-// useful is for how long after the request came an answer that begins is of use;
-// zero once an endpoint may have run it, since it can't be refused then.
-func (r *run) useful() time.Duration {
-	if r.ran > 0 || r.begun {
+// startLimit returns how long after its arrival the response must begin to be of
+// use to the caller. It returns 0, no limit, once an endpoint may have run the
+// request: the coordinator refuses late requests as not run, which would then be
+// wrong.
+func (r *run) startLimit() time.Duration {
+	if r.mayHaveRun > 0 || r.headSent {
 		return 0
 	}
-	until := r.r.End - r.r.Began
-	if r.r.Leaves > 0 {
-		until = min(until, r.r.Leaves)
+	until := r.req.End - r.req.Began
+	if r.req.Leaves > 0 {
+		until = min(until, r.req.Leaves)
 	}
 	return until
 }
 
-// awaitEndpoint pauses before a place is asked for again, if the refusal may
-// come from knowledge that differs between daemons for a moment.
-func (r *run) awaitEndpoint(ctx context.Context, err error) bool {
+// awaitTable reports whether a reservation should be repeated because its refusal
+// may be due to different table versions at this daemon and the coordinator. It
+// waits for staleRetryDelay first.
+func (r *run) awaitTable(ctx context.Context, err error) bool {
 	refusal, ok := errors.Into[*outcome.Refusal](err)
-	if !ok || r.unknown >= maxUnknown {
+	if !ok || r.staleRetries >= maxStaleRetries {
 		return false
 	}
 	if refusal.Reason != outcome.ReasonNoEndpoint && refusal.Reason != outcome.ReasonUnknownClass {
 		return false
 	}
-	r.unknown++
+	r.staleRetries++
 	select {
 	case <-ctx.Done():
 		return false
-	case <-r.f.Clock.After(placeRetry):
+	case <-r.f.Clock.After(staleRetryDelay):
 		return true
 	}
 }
 
-// mayGoOn decides whether another endpoint may be asked after a failure.
-func (r *run) mayGoOn(ctx context.Context, e end) bool {
+// mayRetry reports whether the request may be sent to another endpoint after a
+// failed attempt.
+func (r *run) mayRetry(ctx context.Context, e attemptResult) bool {
 	switch {
 	case ctx.Err() != nil:
 		return false
-	case e.ran && !r.r.repeatable():
+	case e.mayHaveRun && !r.req.repeatable():
 		return false
 	case errors.As(e.err, new(*outcome.Refusal)):
 		return false
-	case r.ran >= r.r.Attempts || r.refused >= maxRefused:
+	case r.mayHaveRun >= r.req.Attempts || r.notRun >= maxNotRun:
 		return false
-	case r.f.Suspects.Kept(r.r.Fingerprint):
+	case r.f.Suspects.Kept(r.req.Fingerprint):
 		return false
 	case e.reason == outcome.ReasonConnect:
-		// Nothing arrived anywhere, so that nothing is repeated.
+		// The endpoint has received nothing, so the next attempt repeats nothing
+		// and is not charged to the retry budget.
 	case !r.budget.Take():
 		r.f.Metrics.Inc("retryBudget.exhausted")
 		return false
@@ -268,31 +280,31 @@
 	return true
 }
 
-// final ends a request that no endpoint has answered.
-func (r *run) final(ctx context.Context, e end) error {
+// failAttempts ends a request after its last attempt has failed.
+func (r *run) failAttempts(ctx context.Context, e attemptResult) error {
 	switch {
-	case r.begun:
+	case r.headSent:
 		return errors.Wrap(ErrBroken, e.err.Error())
-	case r.answer != nil && ctx.Err() == nil:
-		return r.passAnswer(r.answer)
+	case r.errorResponse != nil && ctx.Err() == nil:
+		return r.forwardResponse(r.errorResponse)
 	}
-	if refusal, ok := errors.Into[*outcome.Refusal](e.err); ok && r.ran == 0 {
+	if refusal, ok := errors.Into[*outcome.Refusal](e.err); ok && r.mayHaveRun == 0 {
 		return refusal
 	}
 	return r.refusal(ctx, e.reason, e.err.Error())
 }
 
-// noPlace ends a request that got no place.
-func (r *run) noPlace(ctx context.Context, err error) error {
+// failReserve ends a request for which no slot could be reserved.
+func (r *run) failReserve(ctx context.Context, err error) error {
 	refusal, ok := errors.Into[*outcome.Refusal](err)
 	switch {
-	case r.begun:
+	case r.headSent:
 		return errors.Wrap(ErrBroken, err.Error())
-	case r.answer != nil && ctx.Err() == nil:
-		return r.passAnswer(r.answer)
+	case r.errorResponse != nil && ctx.Err() == nil:
+		return r.forwardResponse(r.errorResponse)
 	case !ok:
 		return r.refusal(ctx, outcome.ReasonOverloaded, err.Error())
-	case r.ran > 0:
+	case r.mayHaveRun > 0:
 		refusal.Outcome = outcome.Unknown
 	}
 	return refusal
@@ -305,18 +317,19 @@
 	case ctx.Err() != nil:
 		reason = outcome.ReasonCallerGone
 	}
-	if r.ran > 0 {
+	if r.mayHaveRun > 0 {
 		return outcome.UnknownError(reason, message)
 	}
 	refusal := outcome.NotRunError(reason, message)
-	refusal.RetryAfter = defaultRetry
+	refusal.RetryAfter = defaultRetryAfter
 	return refusal
 }
 
-// passAnswer passes on an endpoint's own failure unchanged. A status that
-// promises that the request was not run is not the endpoint's to give unless
-// it says so; the caller would repeat what may have run.
-func (r *run) passAnswer(a *answer) error {
+// forwardResponse forwards a response unchanged. The exception is a status code
+// that callers take to mean that the request was not run: the endpoint has not
+// confirmed that with a header, and callers would repeat a request that may have
+// run.
+func (r *run) forwardResponse(a *response) error {
 	if r.f.Wire.Promises(a.status) {
 		return outcome.UnknownError(outcome.ReasonEndpointFailed, "the endpoint failed the request")
 	}
@@ -327,73 +340,75 @@
 	return nil
 }
 
-// attempt sends the request to one endpoint and passes the answer on.
-func (r *run) attempt(ctx context.Context, grant *placement.Grant) end {
-	left := r.r.End - r.f.Boot.Now()
+// attempt sends the request to one endpoint and forwards the response.
+func (r *run) attempt(ctx context.Context, grant *placement.Grant) attemptResult {
+	left := r.req.End - r.f.Boot.Now()
 	endpoint := &grant.Endpoint
-	send := Send{Request: r.r, Endpoint: endpoint, Left: left, LastEvent: r.lastEvent}
+	send := Send{Request: r.req, Endpoint: endpoint, Left: left, LastEvent: r.lastEvent}
 	if grant.FetchFrom != nil {
 		send.FetchFrom = address(grant.FetchFrom)
 	}
 	x, err := r.f.Pool.Send(ctx, address(endpoint), &http1.Request{
-		Method: r.r.Method,
-		Target: r.r.Target,
-		Host:   r.r.Host,
+		Method: r.req.Method,
+		Target: r.req.Target,
+		Host:   r.req.Host,
 		Header: r.f.Wire.Header(send),
-		Body:   r.r.Body,
-		Check:  func() error { return r.mayWrite(endpoint) },
-		Mine:   func(h http.Header) bool { return r.f.Wire.Mine(r.r, h) },
+		Body:   r.req.Body,
+		Check:  func() error { return r.checkWrite(endpoint) },
+		Mine:   func(h http.Header) bool { return r.f.Wire.Mine(r.req, h) },
 	})
 	if refusal, ok := errors.Into[*outcome.Refusal](err); ok {
-		return end{err: refusal, reason: refusal.Reason, report: peerv1.ReleaseOutcome_RELEASE_OUTCOME_CALLER_GONE}
+		return attemptResult{err: refusal, reason: refusal.Reason, report: peerv1.ReleaseOutcome_RELEASE_OUTCOME_CALLER_GONE}
 	}
-	if errors.Is(err, errLeft) {
+	if errors.Is(err, errEndpointUnusable) {
 		r.f.Metrics.Inc("places.unusable")
-		return end{err: err, reason: outcome.ReasonConnect, report: peerv1.ReleaseOutcome_RELEASE_OUTCOME_CALLER_GONE}
+		return attemptResult{err: err, reason: outcome.ReasonConnect, report: peerv1.ReleaseOutcome_RELEASE_OUTCOME_CALLER_GONE}
 	}
 	if err != nil {
-		return end{err: err, reason: outcome.ReasonConnect, report: peerv1.ReleaseOutcome_RELEASE_OUTCOME_ENDPOINT_FAILED}
+		return attemptResult{err: err, reason: outcome.ReasonConnect, report: peerv1.ReleaseOutcome_RELEASE_OUTCOME_ENDPOINT_FAILED}
 	}
 	stop := context.AfterFunc(ctx, x.Abort)
 	defer stop()
-	e := r.exchange(ctx, x, grant)
+	e := r.readResponse(ctx, x, grant)
 	if e.err != nil {
 		x.Abort()
-		if ctx.Err() != nil && e.ran {
+		if ctx.Err() != nil && e.mayHaveRun {
 			e.report = peerv1.ReleaseOutcome_RELEASE_OUTCOME_CALLER_GONE
 		} else if e.reason == outcome.ReasonSilent || e.reason == outcome.ReasonConnectionLost {
 			r.f.Pool.Drop(address(endpoint))
 		}
-		e.ended = r.endpointEnded(ctx, e, endpoint)
+		e.terminated = r.terminated(ctx, e, endpoint)
 	}
 	return e
 }
 
-// maySend is asked when there is a place and right before each send.
-func (r *run) maySend() *outcome.Refusal {
-	if refusal := r.r.MaySend(); refusal != nil {
+// checkSend returns a refusal if the request may not be sent. It is called after
+// a slot was granted and again right before the request is written.
+func (r *run) checkSend() *outcome.Refusal {
+	if refusal := r.req.MaySend(); refusal != nil {
 		return refusal
 	}
-	return r.quarantined()
+	return r.checkQuarantine()
 }
 
-// errLeft says that the endpoint took no more work when the request was to be
-// written.
-var errLeft = errors.New("the endpoint has left")
+// errEndpointUnusable reports that the endpoint no longer accepted work when the
+// request was about to be written.
+var errEndpointUnusable = errors.New("the endpoint has left")
 
-// mayWrite is asked when a connection to the endpoint is there. Opening one may
-// take a second, in which the endpoint may leave or the caller's key may end.
-func (r *run) mayWrite(e *table.Endpoint) error {
-	if refusal := r.maySend(); refusal != nil {
+// checkWrite returns an error if the request may not be written to an open
+// connection. Opening a connection may take a second, during which the endpoint
+// may be removed or the caller's key revoked.
+func (r *run) checkWrite(e *table.Endpoint) error {
+	if refusal := r.checkSend(); refusal != nil {
 		return refusal
 	}
 	if !r.f.Usable(e) {
-		return errLeft
+		return errEndpointUnusable
 	}
 	return nil
 }
 
-// address returns where an endpoint listens.
+// address returns the host and port of an endpoint.
 func address(e *table.Endpoint) string {
 	_, address, _ := strings.Cut(e.URL, "://")
 	return address
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -16,66 +16,70 @@
 )
 
 const (
-	// readSize is how much of a stream is read at once, in bytes.
+	// readSize is the size in bytes of the buffer for reading a stream.
 	readSize = 2 << 10
-	// maxEvent bounds one event, in bytes.
+	// maxEvent is the maximum size of an event in bytes.
 	maxEvent = 1 << 20
 )
 
 var errPartialEvent = errors.New("the stream ends within an event")
 
-// stream passes on a stream of events, each as soon as it is whole. An event
-// that is cut off never reaches the caller, so that the stream can go on with
-// it elsewhere.
-func (r *run) stream(ctx context.Context, x *http1.Exchange, resp *http.Response, grant *placement.Grant) end {
+// forwardStream forwards a stream of events, each as soon as it is complete. A
+// truncated event is never forwarded, so that the stream can be continued with
+// this event at another endpoint.
+func (r *run) forwardStream(ctx context.Context, x *http1.Exchange, resp *http.Response, grant *placement.Grant) attemptResult {
 	var pending []byte
 	chunk := make([]byte, readSize)
 	for {
 		n, err := resp.Body.Read(chunk)
 		pending = append(pending, chunk[:n]...)
-		whole := wholeEvents(pending)
+		whole := completeEvents(pending)
 		if whole > 0 {
-			if err := r.passEvents(pending[:whole], resp, grant); err != nil {
-				return end{err: err, reason: outcome.ReasonCallerGone, ran: true, report: peerv1.ReleaseOutcome_RELEASE_OUTCOME_CALLER_GONE}
+			if err := r.forwardEvents(pending[:whole], resp, grant); err != nil {
+				return attemptResult{err: err, reason: outcome.ReasonCallerGone, mayHaveRun: true, report: peerv1.ReleaseOutcome_RELEASE_OUTCOME_CALLER_GONE}
 			}
 			pending = append(pending[:0], pending[whole:]...)
-			x.Patience(r.patience(silentPauses * r.r.Pause))
+			x.Patience(r.silenceTimeout(gapsUntilSilent * r.req.Pause))
 		}
 		switch {
 		case errors.Is(err, io.EOF):
 			return r.endStream(x, resp, pending)
 		case err != nil:
-			return failure(readReason(ctx, err), err)
+			return failedResult(readFailureReason(ctx, err), err)
 		case len(pending) > maxEvent:
-			return failure(outcome.ReasonWrongAnswer, errors.New("an event is too long"))
+			return failedResult(outcome.ReasonWrongAnswer, errors.New("an event is too long"))
 		}
 	}
 }
 
-func (r *run) endStream(x *http1.Exchange, resp *http.Response, pending []byte) end {
+// endStream handles the end of the stream; pending is the data after the last
+// complete event.
+func (r *run) endStream(x *http1.Exchange, resp *http.Response, pending []byte) attemptResult {
 	if len(pending) > 0 {
-		return failure(outcome.ReasonTruncated, errPartialEvent)
+		return failedResult(outcome.ReasonTruncated, errPartialEvent)
 	}
-	r.head(resp)
+	r.sendHead(resp)
 	x.Finish()
-	return done(resp)
+	return forwardedResult(resp)
 }
 
-// head passes on the head of the first answer; later ones go on under it.
-func (r *run) head(resp *http.Response) {
-	if r.begun {
+// sendHead forwards the head of the first response. The events of later ones
+// continue that response.
+func (r *run) sendHead(resp *http.Response) {
+	if r.headSent {
 		return
 	}
-	r.begun = true
+	r.headSent = true
 	r.sink.Head(resp.StatusCode, resp.Header, -1)
 }
 
-// passEvents passes on whole events but for those that the caller has.
-func (r *run) passEvents(events []byte, resp *http.Response, grant *placement.Grant) error {
-	r.head(resp)
+// forwardEvents forwards complete events, except those that the caller has
+// already received.
+func (r *run) forwardEvents(events []byte, resp *http.Response, grant *placement.Grant) error {
+	r.sendHead(resp)
 	var out []byte
 	for len(events) > 0 {
-		n := wholeEvent(events)
+		n := completeEvent(events)
 		event := events[:n]
 		events = events[n:]
 		id, ok := eventID(event)
@@ -87,7 +91,7 @@
 			r.lastEvent = id
 		}
 		if r.events++; r.events == 1 {
-			r.first = r.f.Clock.Since(r.began)
+			r.firstEvent = r.f.Clock.Since(r.began)
 		}
 		grant.Token()
 		out = append(out, event...)
@@ -98,7 +102,8 @@
 	return r.sink.Body(out)
 }
 
-// isNext tells whether an event comes after the last one that the caller has.
+// isNext reports whether an event comes after the last one that the caller has
+// received.
 func (r *run) isNext(id string) bool {
 	last, err := strconv.ParseInt(r.lastEvent, 10, 64)
 	if err != nil {
@@ -108,11 +113,11 @@
 	return err != nil || n > last
 }
 
-// wholeEvents returns the length of the whole events at the start of data.
-func wholeEvents(data []byte) int {
+// completeEvents returns the length of the complete events at the start of data.
+func completeEvents(data []byte) int {
 	whole := 0
 	for {
-		n := wholeEvent(data[whole:])
+		n := completeEvent(data[whole:])
 		if n == 0 {
 			return whole
 		}
@@ -120,9 +125,9 @@
 	}
 }
 
-// wholeEvent returns the length of the event at the start of data, its empty
-// line included; zero if it is not whole.
-func wholeEvent(data []byte) int {
+// completeEvent returns the length of the event at the start of data, including
+// the empty line that ends it, or 0 if the event is incomplete.
+func completeEvent(data []byte) int {
 	for at := 0; ; {
 		i := bytes.IndexByte(data[at:], '\n')
 		if i < 0 {
--- a/internal/forward/newclass_test.go
+++ b/internal/forward/unknown_class_test.go
@@ -15,11 +15,11 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// An operator adds a route. This daemon has it, the coordinator has not taken
-// it in yet and does not know the class: the caller got 503 for a moment. The
-// place is asked for again instead, a few times.
-func TestNewClassIsAskedForAgain(t *testing.T) {
-	for _, unknown := range []int{1, maxUnknown, maxUnknown + 1} {
+// An operator adds a route. This daemon has loaded it, but the coordinator has
+// not and refuses the unknown class, which used to give the caller a 503. The
+// reservation must be repeated, at most maxStaleRetries times.
+func TestReserveIsRepeatedForUnknownClass(t *testing.T) {
+	for _, unknown := range []int{1, maxStaleRetries, maxStaleRetries + 1} {
 		asked := 0
 		f := &Forwarder{
 			Clock:   clockwork.NewRealClock(),
@@ -34,10 +34,10 @@
 				return nil, outcome.NotRunError(outcome.ReasonShed, "known by now")
 			},
 		}
-		r := &run{f: f, r: &Request{MaySend: func() *outcome.Refusal { return nil }}}
+		r := &run{f: f, req: &Request{MaySend: func() *outcome.Refusal { return nil }}}
 		_, err := r.reserve(context.Background())
 		want := outcome.ReasonShed
-		if unknown > maxUnknown {
+		if unknown > maxStaleRetries {
 			want = outcome.ReasonUnknownClass
 		}
 		if got := outcome.Of(err).Reason; got != want {
--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -1,9 +1,9 @@
-// Package retrybudget bounds what is sent beyond the first time.
+// Package retrybudget limits the number of retries.
 //
-// Failure: when endpoints fail, each request is sent several times, and the
-// load that this adds keeps the endpoints from recovering. The guard: what is
-// sent beyond the first time is at most a share of the requests, plus a few
-// that a quiet daemon may always use.
+// Without a limit, failing endpoints cause a retry storm: each request is sent
+// several times, and the added load keeps the endpoints from recovering. A budget
+// limits the retries to a share of the requests, plus a small reserve, so that a
+// daemon with few requests can retry too.
 package retrybudget
 
 import (
@@ -13,59 +13,63 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Terms are the size of a budget.
+// Terms are the parameters of a budget.
 type Terms struct {
-	// Share is what each request adds; Most is the most that can be saved up.
+	// Share is the number of retries that each request earns. Most is the
+	// maximum number of earned retries that can accumulate.
 	Share, Most float64
-	// Spare is what there is at first; Refill of it comes back per second.
+	// Spare is the size of the reserve, which is full at first. Refill is the
+	// number of retries by which the reserve is refilled per second.
 	Spare, Refill float64
 }
 
-// Budget is what may still be sent beyond the first time. It is safe for
-// concurrent use.
+// Budget counts the retries that are still allowed. It is safe for concurrent
+// use.
 type Budget struct {
 	clock clockwork.Clock
 
 	mu    sync.Mutex
 	terms Terms
-	// earned is between 0 and Most, spare between 0 and Spare.
-	earned, spare float64
-	refilled      time.Time
+	// earned holds the retries earned by requests, between 0 and Most; reserve
+	// holds those of the reserve, between 0 and Spare.
+	earned, reserve float64
+	refilled        time.Time
 }
 
-// New returns a budget with its spare.
+// New returns a budget with a full reserve.
 func New(clock clockwork.Clock, t Terms) *Budget {
-	return &Budget{clock: clock, terms: t, spare: t.Spare, refilled: clock.Now()}
+	return &Budget{clock: clock, terms: t, reserve: t.Spare, refilled: clock.Now()}
 }
 
-// Change sets other terms. What was saved up beyond them is lost.
+// Change replaces the terms. Retries in excess of the new limits are lost.
 func (b *Budget) Change(t Terms) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.terms = t
 	b.earned = min(b.earned, t.Most)
-	b.spare = min(b.spare, t.Spare)
+	b.reserve = min(b.reserve, t.Spare)
 }
 
-// Add adds one request's share.
+// Add adds the share that one request earns.
 func (b *Budget) Add() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.earned = min(b.earned+b.terms.Share, b.terms.Most)
 }
 
-// Take uses one unit, if there is one.
+// Take takes one retry from the budget, first from the earned ones, then from the
+// reserve. It returns false if none is left.
 func (b *Budget) Take() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.clock.Now()
-	b.spare = min(b.spare+b.terms.Refill*now.Sub(b.refilled).Seconds(), b.terms.Spare)
+	b.reserve = min(b.reserve+b.terms.Refill*now.Sub(b.refilled).Seconds(), b.terms.Spare)
 	b.refilled = now
 	switch {
 	case b.earned >= 1:
 		b.earned--
-	case b.spare >= 1:
-		b.spare--
+	case b.reserve >= 1:
+		b.reserve--
 	default:
 		return false
 	}
