--- a/internal/batching/batching.go
+++ b/internal/batching/batching.go
@@ -1,91 +1,96 @@
 // Package batching chooses among engines that batch their requests. Such an
-// engine reads prompts in turn, between the tokens of the requests that run: a
-// request's first token waits for all that is to be read before, and each
-// prompt slows down what runs beside it. So engines are chosen by what they
-// have to read, and long reads are kept off the streams that they would break.
-// Which request comes next is decided in package schedule.
+// engine interleaves prefill, the processing of prompts, with decoding, the
+// generation of tokens for the requests that run: the first token of a request
+// waits for all prefill queued before it, and each prefill slows down the
+// requests that are decoded beside it. Engines are therefore chosen by their
+// queued prefill, and long prefills are kept away from the streams whose gap
+// limit they would exceed. Package schedule decides which request comes next.
 //
-// It is pure: no input or output, no goroutines, and the time is handed in.
+// The package performs no I/O and starts no goroutines; callers pass the time.
 package batching
 
 import (
 	"time"
 )
 
-// Mechanism is a part of the decisions that can be switched off, to measure
-// what it is worth.
+// Mechanism is a part of the decisions that can be disabled, to measure its
+// effect.
 type Mechanism string
 
 // The mechanisms of this package.
 const (
-	// DecodeEngines keeps long reads and the streams that they break apart.
+	// DecodeEngines reserves engines for streams that long prefills would delay.
 	DecodeEngines Mechanism = "decodeEngines"
-	// Spacing bounds what a decode engine reads within the time of an event.
+	// Spacing limits the prefill of a decode engine within the time of an event.
 	Spacing Mechanism = "spacing"
-	// Disturbance weighs what reads and streams on one engine do to each other.
+	// Disturbance adds the interference between prefills and streams on one
+	// engine to the cost of the engine.
 	Disturbance Mechanism = "disturbance"
 	// Headroom keeps engines free for more urgent classes.
 	Headroom Mechanism = "headroom"
-	// Fetch lets engines fetch parts of prompts from each other.
+	// Fetch lets engines fetch cached parts of prompts from each other.
 	Fetch Mechanism = "fetch"
-	// ReadAgain avoids to read parts that another engine has read lately.
+	// ReadAgain avoids the prefill of parts that another engine has processed
+	// recently.
 	ReadAgain Mechanism = "readAgain"
-	// Home has parts that no engine is known to keep read at one engine.
+	// Home sends the parts that no engine has cached to one engine for prefill.
 	Home Mechanism = "home"
-	// ZoneWeight prefers engines of the caller's availability zone.
+	// ZoneWeight prefers engines in the caller's availability zone.
 	ZoneWeight Mechanism = "zoneWeight"
-	// WaitPatience lets a request that has waited find less backlog.
+	// WaitPatience lowers the backlog limit of a request by the time it has waited.
 	WaitPatience Mechanism = "waitPatience"
-	// DecodeSlowdown expects engines with many requests to read more slowly.
+	// DecodeSlowdown expects slower prefill on engines that run many requests.
 	DecodeSlowdown Mechanism = "decodeSlowdown"
 )
 
-// Part is a part of a prompt. Engines keep parts by id and don't read one
-// again while they keep it and all parts before it.
+// Part is a part of a prompt. Engines cache parts by ID, and skip the prefill
+// of a part while it and all parts before it are in their prefix cache.
 type Part struct {
 	ID     uint64
 	Tokens int
 }
 
-// Prompt is what a request asks of an engine.
+// Prompt describes the work that a request puts on an engine.
 type Prompt struct {
 	// Tokens is the length of the prompt, Answer the expected length of the
-	// answer in tokens.
+	// response, in tokens.
 	Tokens, Answer int
 	// Parts are the parts of the prompt in order.
 	Parts []Part
-	// Zone is the availability zone from which the request is sent.
+	// Zone is the availability zone of the host that sends the request.
 	Zone string
 }
 
-// Work is one request while it waits for an engine or runs on one.
+// Work is the state of a request that waits for an engine or runs on one.
 type Work struct {
 	Prompt Prompt
 	Class  *Class
-	// Since is when its wait began, Granted when it got its place.
+	// Since is when it began to wait, Granted when it was given a slot.
 	Since, Granted time.Duration
-	// Late says that its target is already missed.
+	// Late means that its first token is expected after the target.
 	Late bool
-	// Fetched is what the engine fetches from another one, in tokens.
+	// Fetched is the number of prompt tokens that the engine fetches from the
+	// KV cache of another one.
 	Fetched int
-	// Unread is how long an engine would read that fetches what others keep.
+	// Unread is the expected prefill time after all cached parts are fetched.
 	Unread time.Duration
-	// LongRead says that its read was one that breaks protected streams when
-	// it was last looked at.
+	// LongRead means that its prefill exceeded the gap limit of protected
+	// streams when it was last checked.
 	LongRead bool
 
-	// reads is what the engine had to read of the prompt, held what it keeps
-	// for the request; in tokens.
-	reads float64
-	held  int
-	// idle says that the engine had nothing else to read.
-	idle bool
-	// sensitivity is how much the stream suffers from what is read beside it.
+	// prefillCost is the cost of the prefill on the engine, in tokens at the
+	// start of a prompt. reservedMemory is the KV cache reserved for the
+	// request itself, in tokens.
+	prefillCost    float64
+	reservedMemory int
+	// engineIdle means that the engine had no other prefill at the grant.
+	engineIdle bool
+	// sensitivity is how strongly prefill delays the stream, from 0 to 1.
 	sensitivity float64
-	// protected says that the stream was booked as one that suffers from long
-	// reads, long that the request was taken for one that stays long.
-	protected, long bool
-	// due is when the first token was expected, as booked when the engine's
-	// corrections summed up to shift.
-	due, shift time.Duration
+	// protected means that the stream is counted as one that long prefills
+	// delay too much, longRunning that the request is counted as long-running.
+	protected, longRunning bool
+	// firstTokenDue is when the first token was expected at the grant,
+	// correctionAtGrant the correction of the engine at that time.
+	firstTokenDue, correctionAtGrant time.Duration
 }
--- a/internal/batching/choice.go
+++ b/internal/batching/choice.go
@@ -3,117 +3,121 @@
 import "time"
 
 const (
-	// targetShare is the part of a class's target that may be spent until the
-	// first token as it is expected; the rest is for what is not.
+	// targetShare is the part of a class's target that the expected time to the
+	// first token may use; the rest is a reserve for errors of the estimate.
 	targetShare = 0.7
-	// minBacklog is the backlog with which an engine may always be chosen, so
-	// that it does not run dry while a grant is on its way.
+	// minBacklog is the backlog up to which an engine is always eligible, so
+	// that it does not become idle while a grant is on its way.
 	minBacklog = 40 * time.Millisecond
-	// maxBacklog is the backlog beyond which nothing more is sent. What waits
-	// can still go elsewhere.
+	// maxBacklog is the backlog above which no request is sent to an engine.
+	// A request that still waits can be sent to another engine.
 	maxBacklog = 700 * time.Millisecond
-	// decodeWait is the part of its target, as a divisor, for which a protected
-	// stream waits for a decode engine.
-	decodeWait = 2
-	// minFetch is how many tokens a fetch must save to be worth its set-up.
-	minFetch = 64
-	// homeUnread is how many requests without a first token keep an engine from
-	// attracting the parts that belong to it: it is busy, or hangs.
-	homeUnread = 2
-	// recentUse is how long after its last use a part counts as read lately.
+	// decodeWaitDivisor sets how long a protected stream waits for a decode
+	// engine: its target divided by this number.
+	decodeWaitDivisor = 2
+	// minFetchGain is the number of tokens that a fetch must save to be worth
+	// its set-up cost.
+	minFetchGain = 64
+	// affinityMaxPrefills is the number of requests without a first token at
+	// which an engine loses its affinity bonus: it is busy or hangs.
+	affinityMaxPrefills = 2
+	// recentUse is how long a part counts as recently processed after its last
+	// use.
 	recentUse = 10 * time.Second
 )
 
-// The weights of a choice, in tokens to be read.
+// Weights of the cost of an engine, in prefill tokens.
 const (
-	// runWeight is for each running request: it slows down the others of its
-	// batch.
-	runWeight = 100
-	// farWeight is for a request that leaves its availability zone.
-	farWeight = 300
-	// againWeight is for each token that is read though another engine has
-	// read it lately: what is read for nothing delays everyone beside it and
-	// drives out what others will need.
-	againWeight = 12
-	// fetchWeight is for each token that is fetched from another engine.
+	// runningWeight is the cost of each running request, which slows down the
+	// others in its batch.
+	runningWeight = 100
+	// crossZoneWeight is the cost of sending a request to another availability
+	// zone.
+	crossZoneWeight = 300
+	// redundantPrefillWeight is the cost of each token that another engine has
+	// processed recently: redundant prefill delays all requests on the engine and
+	// evicts parts that other requests will need.
+	redundantPrefillWeight = 12
+	// fetchWeight is the cost of each token that is fetched from another engine.
 	fetchWeight = 0.6
-	// homeWeight is for each token of parts that no engine is known to keep, at
-	// the engine where they belong.
-	homeWeight = 2
+	// affinityWeight is the bonus for each token of the parts that no engine has
+	// cached, at the engine for which they have affinity.
+	affinityWeight = 2
 )
 
-// Candidate is what matters of a request while an engine is chosen for it.
+// Candidate holds what the choice of an engine needs to know of a request.
 type Candidate struct {
 	*Prompt
-	// patience is the backlog that it may find.
-	patience time.Duration
-	// memory is what it takes beside the parts.
+	// backlogLimit is the longest backlog that is acceptable.
+	backlogLimit time.Duration
+	// memory is the KV cache that it needs in addition to the prompt's parts.
 	memory int
-	// sensitivity is how much its stream suffers from what is read beside it.
+	// sensitivity is how strongly prefill delays its stream, from 0 to 1.
 	sensitivity float64
-	// protected streams keep to decode engines; long reads would break them, and
-	// lasting requests hold slots that they need.
-	protected, long, lasting bool
-	// unread is how long an engine reads that has fetched what others keep.
-	unread time.Duration
-	// keeper keeps the most of the prompt, the first kept tokens; second is the
-	// best of the others.
-	keeper, second   *Engine
-	kept, secondKept int
-	// home is the engine where the parts belong that none is known to keep, and
-	// homeless their tokens; nil if there are none.
-	home     *Engine
-	homeless int
-	headroom headroom
+	// protected streams run on decode engines, because a long prefill would
+	// delay them too much, and long-running requests hold slots that they need.
+	protected, longPrefill, longRunning bool
+	// prefillTime is the expected prefill time after all cached parts are
+	// fetched.
+	prefillTime time.Duration
+	// bestCache is the engine that has cached the longest start of the prompt,
+	// with cached tokens; secondCache is the next best one.
+	bestCache, secondCache *Engine
+	cached, secondCached   int
+	// affinityEngine is the engine for which the parts that no engine has cached
+	// have affinity, affinityTokens their size; nil if there are none.
+	affinityEngine *Engine
+	affinityTokens int
+	headroom       headroom
 }
 
-// Candidate looks at a request for which an engine is to be chosen.
+// Candidate evaluates a request for the choice of an engine.
 func (p *Pool) Candidate(g *Work, now time.Duration) Candidate {
 	r := &g.Prompt
-	c := Candidate{Prompt: r, headroom: p.headroomFor(g.Class, now), lasting: p.staysLongBelow(g.Class, r)}
+	c := Candidate{Prompt: r, headroom: p.headroomFor(g.Class, now), longRunning: p.isLongRunningBelow(g.Class, r)}
 	c.sensitivity = g.Class.sensitivity(r)
-	c.memory = ownMemory(r)
+	c.memory = unsharedMemory(r)
 	for _, e := range p.engines {
-		if e.Memory == 0 || e.Ejected(now) || p.off(Fetch) {
+		if e.Memory == 0 || e.Ejected(now) || p.isDisabled(Fetch) {
 			continue
 		}
 		n := e.parts.Cached(r.Parts)
 		switch {
-		case n > c.kept:
-			c.second, c.secondKept = c.keeper, c.kept
-			c.keeper, c.kept = e, n
-		case n > c.secondKept:
-			c.second, c.secondKept = e, n
+		case n > c.cached:
+			c.secondCache, c.secondCached = c.bestCache, c.cached
+			c.bestCache, c.cached = e, n
+		case n > c.secondCached:
+			c.secondCache, c.secondCached = e, n
 		}
 	}
-	p.findHome(&c, now)
-	c.unread = p.unreadTime(r, c.kept)
-	g.Unread = c.unread
-	c.patience = p.patience(g, now)
-	g.LongRead = p.breaks(p.typicalRunning(), c.unread, r.Tokens)
-	c.long = g.LongRead
+	p.findAffinity(&c, now)
+	c.prefillTime = p.uncachedPrefillTime(r, c.cached)
+	g.Unread = c.prefillTime
+	c.backlogLimit = p.backlogLimit(g, now)
+	g.LongRead = p.exceedsGapLimit(p.typicalRunning(), c.prefillTime, r.Tokens)
+	c.longPrefill = g.LongRead
 	c.protected = g.Class.protected && !g.LongRead && p.waitsForDecode(g, now)
 	return c
 }
 
-// waitsForDecode tells whether a protected stream still waits for a decode
-// engine. One that has waited for long takes any: on a decode engine it would
-// be late too.
+// waitsForDecode reports whether a protected stream keeps waiting for a decode
+// engine. After a long wait it takes any engine, since it would be late on a
+// decode engine as well.
 func (p *Pool) waitsForDecode(g *Work, now time.Duration) bool {
-	return !g.Late && now-g.Since < g.Class.Target/decodeWait-p.overhead
+	return !g.Late && now-g.Since < g.Class.Target/decodeWaitDivisor-p.overhead
 }
 
-// keeperBeside returns the engine, other than e, that keeps the most.
-func (c *Candidate) keeperBeside(e *Engine) (*Engine, int) {
-	if c.keeper == e {
-		return c.second, c.secondKept
+// bestOtherCache returns the engine, other than e, with the most cached tokens.
+func (c *Candidate) bestOtherCache(e *Engine) (*Engine, int) {
+	if c.bestCache == e {
+		return c.secondCache, c.secondCached
 	}
-	return c.keeper, c.kept
+	return c.bestCache, c.cached
 }
 
-// Takes tells whether an engine may be given a request now: it has the memory,
-// the first token is expected in time, and enough engines stay free for more
-// urgent classes.
+// Takes reports whether an engine may be given a request now: it has the
+// memory, the first token is expected in time, and enough engines stay free for
+// more urgent classes.
 func (p *Pool) Takes(e *Engine, c *Candidate, now time.Duration) bool {
 	if e.Memory == 0 {
 		return true
@@ -121,74 +125,75 @@
 	if e.Running > 0 && !e.fits(c) {
 		return false
 	}
-	if e.Decode && c.lasting || c.protected && p.decodeEngines > 0 && (!e.Decode || e.emptying) {
+	if e.Decode && c.longRunning || c.protected && p.decodeEngines > 0 && (!e.Decode || e.releasing) {
 		return false
 	}
 	backlog := e.Backlog(now)
-	if e.Decode && !p.off(Spacing) && p.crowdsEvent(e, c.unread, c.Tokens, now) {
+	if e.Decode && !p.isDisabled(Spacing) && p.overloadsEvent(e, c.prefillTime, c.Tokens, now) {
 		return false
 	}
-	if backlog > c.patience {
+	if backlog > c.backlogLimit {
 		return false
 	}
-	return c.headroom.spare > 0 || !c.headroom.crowds(backlog, c.unread)
+	return c.headroom.spare > 0 || !c.headroom.exceededBy(backlog, c.prefillTime)
 }
 
-// patience returns the backlog that a request may find at an engine. What it
-// has waited already is gone; one that is late has no target to meet.
-func (p *Pool) patience(g *Work, now time.Duration) time.Duration {
+// backlogLimit returns the longest acceptable backlog of an engine for a
+// request. The time already waited is deducted, except for a late request, which
+// can't meet its target any more.
+func (p *Pool) backlogLimit(g *Work, now time.Duration) time.Duration {
 	target := g.Class.Target
 	if target == 0 {
 		return maxBacklog
 	}
 	left := time.Duration(targetShare*float64(target)) - p.overhead - g.Unread
-	if !g.Late && !p.off(WaitPatience) {
+	if !g.Late && !p.isDisabled(WaitPatience) {
 		left -= now - g.Since
 	}
 	return min(max(left, minBacklog), maxBacklog)
 }
 
-// Cost is how bad it is to give a request to an engine, in tokens to be read.
-// It returns the engine to fetch parts from, if that helps.
+// Cost returns the cost of giving a request to an engine, in prefill tokens, and
+// the engine from which to fetch cached parts, or nil.
 func (p *Pool) Cost(e *Engine, c *Candidate, now time.Duration) (cost float64, source *Engine) {
-	has := e.parts.Cached(c.Parts)
-	kept := has
-	if s, n := c.keeperBeside(e); n > has+minFetch {
-		source, kept = s, n
+	local := e.parts.Cached(c.Parts)
+	cached := local
+	if s, n := c.bestOtherCache(e); n > local+minFetchGain {
+		source, cached = s, n
 	}
 	backlog := e.Backlog(now)
-	cost = backlog.Seconds() * p.readRate
-	if c.home == e && e.Unread() < homeUnread {
-		cost -= homeWeight * float64(c.homeless)
+	cost = backlog.Seconds() * p.prefillRate
+	if c.affinityEngine == e && e.Unread() < affinityMaxPrefills {
+		cost -= affinityWeight * float64(c.affinityTokens)
 	}
-	if c.headroom.crowds(backlog, c.unread) {
-		cost += crowdTime.Seconds() * p.readRate
+	if c.headroom.exceededBy(backlog, c.prefillTime) {
+		cost += headroomPenalty.Seconds() * p.prefillRate
 	}
-	cost += readCost(c.Tokens, kept) + fetchWeight*float64(kept-has) + runWeight*float64(e.Running)
-	if !p.off(ReadAgain) {
-		cost += againWeight * float64(p.readLately(c.Prompt, kept, now))
+	cost += prefillCost(c.Tokens, cached) + fetchWeight*float64(cached-local) + runningWeight*float64(e.Running)
+	if !p.isDisabled(ReadAgain) {
+		cost += redundantPrefillWeight * float64(p.recentlyPrefilled(c.Prompt, cached, now))
 	}
-	if e.Zone != c.Zone && !p.off(ZoneWeight) {
-		cost += farWeight
+	if e.Zone != c.Zone && !p.isDisabled(ZoneWeight) {
+		cost += crossZoneWeight
 	}
-	if !e.Decode && c.long {
-		cost += brokenTime.Seconds() * p.readRate * float64(e.protected)
+	if !e.Decode && c.longPrefill {
+		cost += violationPenalty.Seconds() * p.prefillRate * float64(e.protected)
 	}
-	if p.off(Disturbance) {
+	if p.isDisabled(Disturbance) {
 		return cost * e.Sluggishness(), source
 	}
-	cost += c.sensitivity * e.reading.present(now) * disturbedTime.Seconds() * p.readRate
-	cost += disturbShare * e.sensitivity * disturbance(c.Tokens) * readCost(c.Tokens, kept)
+	cost += c.sensitivity * e.prefillLoad.valueAt(now) * interferencePenalty.Seconds() * p.prefillRate
+	cost += interferenceWeight * e.sensitivity * interferenceFactor(c.Tokens) * prefillCost(c.Tokens, cached)
 	return cost * e.Sluggishness(), source
 }
 
-// readLately returns how many tokens after those that an engine has were read
-// by some engine not long ago.
-func (p *Pool) readLately(r *Prompt, has int, now time.Duration) int {
+// recentlyPrefilled returns how many tokens after the cached ones were processed
+// by some engine recently.
+func (p *Pool) recentlyPrefilled(r *Prompt, cached int, now time.Duration) int {
 	n, at := 0, 0
 	for _, part := range r.Parts {
 		at += part.Tokens
-		if used, ok := p.lastUse[part.ID]; ok && at > has && now-used < recentUse {
+		if used, ok := p.lastUse[part.ID]; ok && at > cached && now-used < recentUse {
 			n += part.Tokens
 		}
 	}
--- a/internal/batching/class.go
+++ b/internal/batching/class.go
@@ -6,69 +6,74 @@
 	"github.com/beechhead/beechhead/internal/stat"
 )
 
-// Class is what is known of one class of requests.
+// Class is the state of one class of requests.
 type Class struct {
 	// Tier orders classes; zero is the most urgent. Target is the promised time
-	// to the first token, Pause that between two events; zero promises nothing.
+	// to the first token, Pause the longest promised gap between two events.
+	// Zero means no promise.
 	Tier          int
 	Target, Pause time.Duration
-	// Running counts the requests that run, Waiting tells how many wait.
+	// Running is the number of running requests. Waiting returns the number of
+	// waiting ones.
 	Running int
 	Waiting func() int
 
-	// demand is how much of the engines the class asks for.
-	demand demand
-	// meanSensitivity is that of its requests.
+	// demand is the prefill time that the class asks for.
+	demand decayingRate
+	// meanSensitivity is the mean of the sensitivity of its requests.
 	meanSensitivity stat.Mean
-	// arrivals is the rate of its requests, firstArrival when the first came;
-	// stay is how long they run, in seconds.
-	arrivals     demand
+	// arrivals is the rate of its requests, firstArrival when the first arrived;
+	// runTime is how long they run, in seconds.
+	arrivals     decayingRate
 	firstArrival time.Duration
-	stay         stat.Mean
-	// meanRead is how long engines read for its requests, in seconds; meanAnswer
-	// how many tokens they are expected to make. protected says that its streams
-	// suffer from the long reads that come.
-	meanRead, meanAnswer stat.Mean
-	protected            bool
-	// breakers counts the reads that would break its streams, breakersPeak is
-	// its recent peak.
-	breakers     demand
-	breakersPeak float64
+	runTime      stat.Mean
+	// meanPrefill is the prefill time of its requests, in seconds, and
+	// meanResponse the expected length of their responses, in tokens. protected
+	// means that the current long prefills delay its streams too much.
+	meanPrefill, meanResponse stat.Mean
+	protected                 bool
+	// violations is the rate of prefills that exceed the gap limit of its
+	// streams, violationsPeak its recent peak.
+	violations     decayingRate
+	violationsPeak float64
 }
 
-// Stayed takes in how long a request of the class has run.
-func (q *Class) Stayed(d time.Duration) { q.stay.Add(d.Seconds()) }
+// Stayed records how long a request of the class has run.
+func (q *Class) Stayed(d time.Duration) { q.runTime.Add(d.Seconds()) }
 
-// expectedStreams returns how many requests of a class will run at once if they
-// go on coming as they do. At the start, and in a burst, that is known seconds
-// before they run, and long requests must not take the engines meanwhile.
+// expectedStreams returns how many requests of the class will run at once if
+// they keep arriving at the present rate. At the start and in a burst, this is
+// known seconds before they run, so that long requests can be kept off the engines
+// until then.
 func (q *Class) expectedStreams(now time.Duration) float64 {
-	return q.arrivals.since(now, q.firstArrival) * q.meanStay()
+	return q.arrivals.valueSince(now, q.firstArrival) * q.meanRunTime()
 }
 
-// meanStay is how long the class's requests run, in seconds.
-func (q *Class) meanStay() float64 {
-	if q.stay.N == 0 {
-		return firstStay.Seconds()
+// meanRunTime returns how long the class's requests run, in seconds.
+func (q *Class) meanRunTime() float64 {
+	if q.runTime.N == 0 {
+		return initialRunTime.Seconds()
 	}
-	return q.stay.Value
+	return q.runTime.Value
 }
 
-// hasStreams tells whether requests of a class run, wait, or are about to come.
+// hasStreams reports whether requests of the class run, wait or are expected.
 func (q *Class) hasStreams(now time.Duration) bool {
 	return q.Running+q.Waiting() > 0 || q.expectedStreams(now) >= 1
 }
 
-// pauseLimit is how long a stream may pause by reading alone; zero is no limit.
-func (q *Class) pauseLimit() time.Duration {
-	return time.Duration(pauseShare * float64(q.Pause))
+// gapLimit returns the longest gap of a stream that prefill may cause; zero
+// means no limit.
+func (q *Class) gapLimit() time.Duration {
+	return time.Duration(gapShare * float64(q.Pause))
 }
 
-// brokenBound is from which share on a class's streams are protected. It is
-// lower for those that are, so that the two don't alternate.
-func (q *Class) brokenBound() float64 {
+// protectionThreshold returns the share of delayed streams above which the
+// class's streams are protected. It is lower for a class that is protected
+// already, so that the state does not oscillate.
+func (q *Class) protectionThreshold() float64 {
 	if q.protected {
-		return brokenKept
+		return unprotectThreshold
 	}
-	return brokenFirst
+	return protectThreshold
 }
--- a/internal/batching/decode.go
+++ b/internal/batching/decode.go
@@ -5,63 +5,67 @@
 	"time"
 )
 
-// A burst of long requests takes every engine: first their prompts slow down
-// the urgent streams beside them, then their answers hold the slots for
-// seconds, and urgent requests that come meanwhile find no place at all. To
-// let each engine take some of both is the worst of it, since every stream is
-// then slowed down by some prompt. So some engines are kept for decoding: they
-// run hurried streams and short requests, and no long ones that are less
-// urgent. How many follows from the streams that run and wait.
+// Without separation, a burst of long requests takes every engine: first their
+// prefill slows down the urgent streams beside it, then their responses hold the
+// slots for seconds, so that urgent requests that arrive meanwhile find no slot.
+// Mixing both kinds on each engine is the worst case, since every stream is then
+// slowed down by some prefill. So some engines are reserved for decoding: they run
+// latency-sensitive streams and short requests, but no long requests of less
+// urgent tiers. Their number follows from the streams that run and wait.
 
 const (
-	// decodeStreams is how many hurried streams are planned for a decode engine,
-	// decodeSlots the part of its slots that they may take by plan. What is left
-	// is for bursts, which come faster than engines get rid of long answers.
-	decodeStreams = 24
-	decodeSlots   = 0.75
-	// maxDecode is the greatest part of the engines that is kept for decoding.
-	maxDecode = 0.6
-	// decodeInterval is the time between two reviews of the decode engines.
-	decodeInterval = 100 * time.Millisecond
-	// decodeRelease is by how many engines there must be too many decode engines
-	// for one to be given back, so that they don't change with each stream.
-	decodeRelease = 2
-	// decodeFade is over how long the demand for decode engines falls after a
-	// peak. Streams come back sooner than an engine is free of long answers.
-	decodeFade = 4 * time.Second
-	// firstStay is how long a hurried stream is thought to run until one has.
-	firstStay = 2 * time.Second
-	// longBusy is how much of its time an engine that takes long reads should
-	// read them.
-	longBusy = 0.6
-	// brokenTime is how much more backlog a long read rather finds than to
-	// break a protected stream.
-	brokenTime = 100 * time.Millisecond
+	// maxStreamsPerDecodeEngine is the number of latency-sensitive streams that
+	// are planned for a decode engine, maxDecodeSlotShare the share of its slots
+	// that they may use by plan. The rest is for bursts, which arrive faster than
+	// engines finish long responses.
+	maxStreamsPerDecodeEngine = 24
+	maxDecodeSlotShare        = 0.75
+	// maxDecodeShare is the largest share of the engines reserved for decoding.
+	maxDecodeShare = 0.6
+	// decodeReviewInterval is the time between two reviews of the decode engines.
+	decodeReviewInterval = 100 * time.Millisecond
+	// decodeHysteresis is the excess of decode engines above which some are
+	// released, so that their number does not change with each stream.
+	decodeHysteresis = 2
+	// peakDecayTime is the time constant with which the demand for decode engines
+	// falls after a peak. Streams return sooner than an engine finishes its long
+	// responses.
+	peakDecayTime = 4 * time.Second
+	// initialRunTime is the assumed run time of a latency-sensitive stream until
+	// one has completed.
+	initialRunTime = 2 * time.Second
+	// longPrefillUtilization is the share of time that an engine for long
+	// prefills is planned to spend on them.
+	longPrefillUtilization = 0.6
+	// violationPenalty is the additional backlog that a long prefill accepts to
+	// avoid delaying one protected stream too much.
+	violationPenalty = 100 * time.Millisecond
 )
 
-// reviewDecode chooses the decode engines anew from time to time.
+// reviewDecode periodically chooses the decode engines again.
 func (p *Pool) reviewDecode(now time.Duration) {
-	if !p.batches || now-p.decodeReviewed < decodeInterval {
+	if !p.hasBatching || now-p.lastDecodeReview < decodeReviewInterval {
 		return
 	}
-	since := now - p.decodeReviewed
-	p.decodeReviewed = now
-	p.fade = math.Exp(-since.Seconds() / decodeFade.Seconds())
+	since := now - p.lastDecodeReview
+	p.lastDecodeReview = now
+	p.peakDecay = math.Exp(-since.Seconds() / peakDecayTime.Seconds())
 	p.reviewProtected(now)
-	p.streamsNow = p.hurriedStreams(now)
-	p.decodeDemand = max(p.streamsNow, p.decodeDemand*p.fade)
-	p.longPeak = max(p.longReads.since(now, p.firstLong), p.longPeak*p.fade)
-	p.setDecode(p.decodeWanted(now), now)
+	p.currentStreams = p.sensitiveStreams(now)
+	p.decodeDemand = max(p.currentStreams, p.decodeDemand*p.peakDecay)
+	p.longPrefillPeak = max(p.longPrefills.valueSince(now, p.firstLongPrefill), p.longPrefillPeak*p.peakDecay)
+	p.adjustDecodeEngines(p.wantedDecodeEngines(now), now)
 }
 
-// setDecode keeps engines for decoding or gives them back until there are so many.
-func (p *Pool) setDecode(wanted int, now time.Duration) {
+// adjustDecodeEngines reserves or releases decode engines until their number is
+// the wanted one.
+func (p *Pool) adjustDecodeEngines(wanted int, now time.Duration) {
 	p.decodeEngines = 0
 	for _, e := range p.engines {
-		if e.Decode && (!e.canDecode(now) || wanted == 0 || e.emptying && e.protected == 0) {
-			e.Decode, e.emptying = false, false
+		if e.Decode && (!e.canDecode(now) || wanted == 0 || e.releasing && e.protected == 0) {
+			e.Decode, e.releasing = false, false
 		}
-		if e.Decode && !e.emptying {
+		if e.Decode && !e.releasing {
 			p.decodeEngines++
 		}
 	}
@@ -70,19 +74,19 @@
 		if e == nil {
 			return
 		}
-		e.Decode, e.emptying = true, false
+		e.Decode, e.releasing = true, false
 	}
-	if p.decodeEngines <= wanted+decodeRelease {
+	if p.decodeEngines <= wanted+decodeHysteresis {
 		return
 	}
-	for ; p.decodeEngines > wanted+decodeRelease/2; p.decodeEngines-- {
-		p.giveBackDecode()
+	for ; p.decodeEngines > wanted+decodeHysteresis/2; p.decodeEngines-- {
+		p.releaseDecodeEngine()
 	}
 }
 
-// hurriedStreams returns how many hurried streams run and wait, or will do so
-// at the rate at which they come, and notes the least urgent tier that has any.
-func (p *Pool) hurriedStreams(now time.Duration) float64 {
+// sensitiveStreams returns how many latency-sensitive streams run and wait, or
+// are expected at their present rate of arrival. It also sets decodeTier.
+func (p *Pool) sensitiveStreams(now time.Duration) float64 {
 	streams := 0.0
 	p.decodeTier = -1
 	for _, q := range p.classes {
@@ -90,7 +94,7 @@
 		if !q.protected {
 			share = q.meanSensitivity.Value
 		}
-		if !q.protected && !p.crowdedOut(q) {
+		if !q.protected && !p.starvedByLongResponses(q) {
 			continue
 		}
 		n := max(float64(q.Running+q.Waiting()), q.expectedStreams(now)) * share
@@ -102,14 +106,14 @@
 	return streams
 }
 
-// crowdedOut tells whether answers of less urgent classes last so long that the
-// streams of a hurried class find no slots.
-func (p *Pool) crowdedOut(q *Class) bool {
-	if q.Pause == 0 || q.Pause >= unhurriedPause {
+// starvedByLongResponses reports whether responses of less urgent classes run so long
+// that the streams of a latency-sensitive class find no slot.
+func (p *Pool) starvedByLongResponses(q *Class) bool {
+	if q.Pause == 0 || q.Pause >= insensitiveGap {
 		return false
 	}
 	for _, other := range p.classes {
-		long := other.meanAnswer.N == 0 || other.meanAnswer.Value >= longStream
+		long := other.meanResponse.N == 0 || other.meanResponse.Value >= longResponse
 		if other.Tier > q.Tier && long {
 			return true
 		}
@@ -117,8 +121,8 @@
 	return false
 }
 
-// decodeWanted returns how many engines are to be kept for decoding.
-func (p *Pool) decodeWanted(now time.Duration) int {
+// wantedDecodeEngines returns how many engines to reserve for decoding.
+func (p *Pool) wantedDecodeEngines(now time.Duration) int {
 	engines, slots := 0, 0
 	for _, e := range p.engines {
 		if e.canDecode(now) {
@@ -126,52 +130,52 @@
 			slots += e.Concurrency
 		}
 	}
-	if engines < 2 || p.decodeTier < 0 || p.off(DecodeEngines) {
+	if engines < 2 || p.decodeTier < 0 || p.isDisabled(DecodeEngines) {
 		return 0
 	}
-	p.decodeEach = max(1, min(decodeStreams, decodeSlots*float64(slots)/float64(engines)))
-	wanted := p.decodeDemand / p.decodeEach
-	if p.bearable == 0 {
-		return int(min(math.Ceil(wanted), maxDecode*float64(engines)))
+	p.streamsPerDecodeEngine = max(1, min(maxStreamsPerDecodeEngine, maxDecodeSlotShare*float64(slots)/float64(engines)))
+	wanted := p.decodeDemand / p.streamsPerDecodeEngine
+	if p.minGapLimit == 0 {
+		return int(min(math.Ceil(wanted), maxDecodeShare*float64(engines)))
 	}
-	return p.divide(math.Ceil(wanted), now, engines)
+	return p.splitEngines(math.Ceil(wanted), now, engines)
 }
 
-// divide returns how many engines are kept for decoding where long reads and protected
-// streams are kept apart. One engine stays for either.
+// splitEngines returns how many engines to reserve for decoding when protected
+// streams are separated from long prefills. Each of the two gets at least one.
 //
-// If both can't have what their recent peaks ask for, what they need now
-// decides: to keep engines for streams that may come back would let reads wait
-// that are there. They share in proportion what is left beyond that, or lacking.
-func (p *Pool) divide(streams float64, now time.Duration, engines int) int {
-	long := max(1, p.longPeak/longBusy)
+// If the recent peaks of both exceed the engines, the present demand is used
+// instead: engines reserved for streams that may return would delay prefills that
+// already wait. The engines are then split in proportion to it.
+func (p *Pool) splitEngines(streams float64, now time.Duration, engines int) int {
+	long := max(1, p.longPrefillPeak/longPrefillUtilization)
 	if all := float64(engines); streams+long > all {
-		streams = p.streamsNow / p.decodeEach
-		long = max(1, p.longNow(now)/longBusy)
+		streams = p.currentStreams / p.streamsPerDecodeEngine
+		long = max(1, p.currentLongPrefill(now)/longPrefillUtilization)
 		streams *= all / (streams + long)
 	}
 	return min(max(int(math.Round(streams)), 1), engines-1)
 }
 
-// longNow is how much reading of long prompts comes and waits, in seconds of an
-// engine per second.
-func (p *Pool) longNow(now time.Duration) float64 {
+// currentLongPrefill returns the demand for long prefills that arrive and wait,
+// in seconds of engine time per second.
+func (p *Pool) currentLongPrefill(now time.Duration) float64 {
 	waiting := 0.0
 	for _, q := range p.classes {
 		if !q.protected {
-			waiting += float64(q.Waiting()) * q.meanRead.Value
+			waiting += float64(q.Waiting()) * q.meanPrefill.Value
 		}
 	}
-	return p.longReads.since(now, p.firstLong) + waiting/demandTime.Seconds()
+	return p.longPrefills.valueSince(now, p.firstLongPrefill) + waiting/rateWindow.Seconds()
 }
 
-// canDecode tells whether an engine batches and takes work.
-// bestForDecode returns the engine that is best kept for decoding: one that was about to
-// be given back, or else the one with the least long work.
+// bestForDecode returns the engine that is best suited as an additional decode
+// engine: one that was about to be released, or else the one with the fewest long
+// requests.
 func (p *Pool) bestForDecode(now time.Duration) *Engine {
 	var best *Engine
 	for _, e := range p.engines {
-		if e.Decode && !e.emptying || !e.canDecode(now) {
+		if e.Decode && !e.releasing || !e.canDecode(now) {
 			continue
 		}
 		if best == nil || e.betterForDecode(best) {
@@ -181,27 +185,27 @@
 	return best
 }
 
-// giveBackDecode has the decode engine with the fewest protected streams take no
-// more of them, and long work as soon as these have ended. To give it long
-// reads at once would break them.
-func (p *Pool) giveBackDecode() {
+// releaseDecodeEngine releases the decode engine with the fewest protected
+// streams. It accepts no more of them, and accepts long requests only after these
+// have ended, because an earlier long prefill would delay them too much.
+func (p *Pool) releaseDecodeEngine() {
 	var least *Engine
 	for _, e := range p.engines {
-		if e.Decode && !e.emptying && (least == nil || e.protected < least.protected) {
+		if e.Decode && !e.releasing && (least == nil || e.protected < least.protected) {
 			least = e
 		}
 	}
-	least.emptying = true
+	least.releasing = true
 }
 
-// staysLong tells whether a request holds a slot for long or takes long to
-// read.
-func staysLong(r *Prompt) bool {
-	return r.Answer >= longStream || r.Tokens >= plainPrompt
+// isLongRunning reports whether a request holds a slot for long or has a long
+// prefill.
+func isLongRunning(r *Prompt) bool {
+	return r.Answer >= longResponse || r.Tokens >= referencePrompt
 }
 
-// staysLongBelow tells whether a request stays long and is less urgent than the
-// streams on decode engines.
-func (p *Pool) staysLongBelow(q *Class, r *Prompt) bool {
-	return q.Tier > p.decodeTier && staysLong(r)
+// isLongRunningBelow reports whether a request is long-running and less urgent
+// than the streams on decode engines.
+func (p *Pool) isLongRunningBelow(q *Class, r *Prompt) bool {
+	return q.Tier > p.decodeTier && isLongRunning(r)
 }
--- a/internal/batching/engine.go
+++ b/internal/batching/engine.go
@@ -9,71 +9,77 @@
 )
 
 const (
-	// overdueSlack is how late a first token may be before the engine is
-	// thought to lag behind what is booked.
+	// overdueSlack is how late a first token may be before the engine is assumed
+	// to be behind its recorded prefill.
 	overdueSlack = 80 * time.Millisecond
-	// maxReadShare bounds the part of its time that an engine is taken to read.
-	maxReadShare = 0.9
-	// readsSeen bounds what an engine remembers of its reads.
-	readsSeen = 64
+	// maxPrefillShare limits the share of its time that an engine is assumed to
+	// spend on prefill.
+	maxPrefillShare = 0.9
+	// maxPrefillRecords is the number of prefills that an engine's history holds.
+	maxPrefillRecords = 64
 )
 
-// Engine is what is known of one engine, and what is booked on it. Its own
-// reports lag by hundreds of milliseconds; what is granted is booked, the
-// reading is followed by the clock and corrected by each first token.
+// Engine is the state of one engine. The engine's own load reports are hundreds
+// of milliseconds old, so grants are recorded here at once; the progress of
+// prefill is extrapolated by the clock and corrected by each first token.
 type Engine struct {
 	Name string
-	// hash is that of the name, by which homes are chosen.
+	// hash is the hash of the name, for prefix affinity.
 	hash uint64
-	// Memory is what the engine keeps, in tokens; one with none does not batch.
+	// Memory is the size of the engine's KV cache in tokens; zero means that it
+	// does not batch.
 	Memory int
-	// Concurrency is how many requests it runs at once.
+	// Concurrency is the number of requests that it runs at once.
 	Concurrency int
 	Zone        string
-	// Closed says that the engine takes no new requests: it leaves, or has left.
+	// Closed means that the engine accepts no new requests, because it is
+	// draining or gone.
 	Closed bool
-	// Running counts the requests that run there.
+	// Running is the number of running requests.
 	Running int
-	// Free tells whether one more request fits, Ejected whether the engine gets
-	// none for a while, Paced whether it gets none for the moment by a limit
-	// that it has named, Sluggishness by how much slower than others it is.
+	// Free reports whether one more request fits, Ejected whether the engine is
+	// temporarily excluded, and Paced whether its advertised rate limit admits no
+	// request at the moment. Sluggishness returns its slowdown relative to
+	// other engines.
 	Free         func(now time.Duration) bool
 	Ejected      func(now time.Duration) bool
 	Paced        func(now time.Duration) bool
 	Sluggishness func() float64
-	// Decode engines take no long requests that are less urgent than hurried
-	// streams.
+	// Decode engines accept no long requests that are less urgent than
+	// latency-sensitive streams.
 	Decode bool
 
-	// emptying decode engines take no more protected streams either.
-	emptying bool
-	// longRuns counts the long requests that run.
-	longRuns int
-	// held is the memory that running requests take beside the parts of their
-	// prompts, which several may share, in tokens.
-	held  int
-	parts PartList
-	// readyAt is when the engine is expected to have read all it was given.
-	readyAt time.Duration
-	// shift is the sum of the corrections of readyAt.
-	shift time.Duration
-	// reading is how much of its time the engine reads, averaged, and
-	// sensitivity the sum of its streams'.
-	reading     demand
+	// releasing decode engines accept no more protected streams either.
+	releasing bool
+	// longRequests is the number of running long requests.
+	longRequests int
+	// reservedMemory is the KV cache that running requests need in addition to the
+	// parts of their prompts, which several requests may share, in tokens.
+	reservedMemory int
+	parts          PartList
+	// prefillDoneAt is when the engine is expected to finish all its prefill.
+	prefillDoneAt time.Duration
+	// correction is the sum of all corrections of prefillDoneAt.
+	correction time.Duration
+	// prefillLoad is the share of time that the engine spends on prefill, weighted
+	// by interference, and sensitivity the sum over its streams.
+	prefillLoad decayingRate
 	sensitivity float64
-	// seen has what the engine was last given to read; protected counts the
-	// streams that run and suffer from long reads.
-	seen      []readSeen
-	protected int
-	// unread has the requests without a first token, in order of their grants.
-	unread []*Work
+	// recentPrefills are the last prefills given to the engine. protected is the
+	// number of running streams that long prefills would delay too much.
+	recentPrefills []prefillRecord
+	protected      int
+	// prefilling lists the requests without a first token, in the order of their
+	// grants.
+	prefilling []*Work
 }
 
-// readSeen is a prompt that an engine was given to read.
-type readSeen struct {
-	// given is when, begin and end are between which it was to be read.
-	given, begin, end time.Duration
-	slowdown          float64
+// prefillRecord is the prefill of one prompt.
+type prefillRecord struct {
+	// grantedAt is when the engine was given the prompt; the prefill was expected
+	// to run from begin to end.
+	grantedAt, begin, end time.Duration
+	slowdown              float64
 }
 
 // Rename sets the name.
@@ -81,120 +87,124 @@
 	e.Name, e.hash = name, xxhash.Sum64String(name)
 }
 
-// Unread returns how many requests run there whose prompts are not read yet.
-func (e *Engine) Unread() int { return len(e.unread) }
+// Unread returns the number of running requests without a first token.
+func (e *Engine) Unread() int { return len(e.prefilling) }
 
-// Held returns the memory that running requests take, in tokens, parts of
-// prompts included.
-func (e *Engine) Held() int { return e.held + e.parts.inUse }
+// Held returns the KV cache that running requests use, in tokens, including the
+// parts of their prompts.
+func (e *Engine) Held() int { return e.reservedMemory + e.parts.inUse }
 
-// Protected returns how many streams run there that suffer from long reads.
+// Protected returns the number of running streams that long prefills would delay
+// too much.
 func (e *Engine) Protected() int { return e.protected }
 
-// Kept returns how many tokens from the start of a prompt the engine keeps.
+// Kept returns how many tokens from the start of a prompt the engine has cached.
 func (e *Engine) Kept(parts []Part) int { return e.parts.Cached(parts) }
 
-// Backlog returns how long an engine will be reading what it was given.
+// Backlog returns the expected time until the engine has finished its prefill.
 func (e *Engine) Backlog(now time.Duration) time.Duration {
-	backlog := max(0, e.readyAt-now)
-	if len(e.unread) == 0 {
+	backlog := max(0, e.prefillDoneAt-now)
+	if len(e.prefilling) == 0 {
 		return 0
 	}
-	if late := now - e.due(e.unread[0]) - overdueSlack; late > 0 {
+	if late := now - e.firstTokenDue(e.prefilling[0]) - overdueSlack; late > 0 {
 		backlog += late
 	}
 	return backlog
 }
 
-// due returns when a request's first token is expected.
-func (e *Engine) due(g *Work) time.Duration { return g.due + e.shift - g.shift }
+// firstTokenDue returns when a request's first token is expected.
+func (e *Engine) firstTokenDue(g *Work) time.Duration {
+	return g.firstTokenDue + e.correction - g.correctionAtGrant
+}
 
-// fits tells whether the memory holds one more request.
+// fits reports whether the engine has the memory for one more request.
 func (e *Engine) fits(c *Candidate) bool {
-	return e.parts.inUse+e.parts.added(c.Parts)+e.held+c.memory <= e.Memory
+	return e.parts.inUse+e.parts.newlyInUse(c.Parts)+e.reservedMemory+c.memory <= e.Memory
 }
 
-// Unbook notes the end of a grant.
+// Unbook records the end of a grant.
 func (e *Engine) Unbook(g *Work) {
 	e.Forget(g)
-	if g.held > 0 {
+	if g.reservedMemory > 0 {
 		e.parts.Leave(g.Prompt.Parts)
 	}
-	e.held -= g.held
+	e.reservedMemory -= g.reservedMemory
 	e.sensitivity = max(0, e.sensitivity-g.sensitivity)
-	g.held, g.sensitivity = 0, 0
+	g.reservedMemory, g.sensitivity = 0, 0
 	if g.protected {
 		e.protected--
 		g.protected = false
 	}
-	if g.long {
-		e.longRuns--
-		g.long = false
+	if g.longRunning {
+		e.longRequests--
+		g.longRunning = false
 	}
 }
 
-// Forget takes a request out of those without a first token; false means that
-// it was not there.
+// Forget removes a request from those without a first token. It returns false if
+// the request is not among them.
 func (e *Engine) Forget(g *Work) bool {
-	for i, one := range e.unread {
-		if one == g {
-			e.unread = append(e.unread[:i], e.unread[i+1:]...)
+	for i, pending := range e.prefilling {
+		if pending == g {
+			e.prefilling = append(e.prefilling[:i], e.prefilling[i+1:]...)
 			return true
 		}
 	}
 	return false
 }
 
-// noteRead remembers that an engine was given one more prompt to read, for
-// which it will take until readyAt.
-func (e *Engine) noteRead(now, took time.Duration, prompt int) {
-	if len(e.seen) >= readsSeen {
-		copy(e.seen, e.seen[1:])
-		e.seen = e.seen[:readsSeen-1]
+// recordPrefill adds the prefill of a prompt to the history. It takes the given
+// time and ends at prefillDoneAt.
+func (e *Engine) recordPrefill(now, took time.Duration, prompt int) {
+	if len(e.recentPrefills) >= maxPrefillRecords {
+		copy(e.recentPrefills, e.recentPrefills[1:])
+		e.recentPrefills = e.recentPrefills[:maxPrefillRecords-1]
 	}
-	e.seen = append(e.seen, readSeen{given: now, begin: e.readyAt - took, end: e.readyAt, slowdown: slowdownAt(prompt)})
+	e.recentPrefills = append(e.recentPrefills, prefillRecord{grantedAt: now, begin: e.prefillDoneAt - took, end: e.prefillDoneAt, slowdown: attentionSlowdown(prompt)})
 }
 
-// longestSince returns the longest reading that was still to be done at or
-// after a moment.
-func (e *Engine) longestSince(t time.Duration) interference.Reading {
+// longestPrefillSince returns the longest prefill, counting only what was still
+// to be done at time t.
+func (e *Engine) longestPrefillSince(t time.Duration) interference.Reading {
 	longest := interference.Reading{}
-	for _, r := range e.seen {
-		if left := r.end - max(r.given, t); left > longest.Time {
+	for _, r := range e.recentPrefills {
+		if left := r.end - max(r.grantedAt, t); left > longest.Time {
 			longest = interference.Reading{Time: left, Slowdown: r.slowdown}
 		}
 	}
 	return longest
 }
 
-// readBetween returns how much of a time an engine has spent reading.
-func (e *Engine) readBetween(from, to time.Duration) time.Duration {
+// prefillTimeBetween returns how long the engine has spent on prefill between two
+// times.
+func (e *Engine) prefillTimeBetween(from, to time.Duration) time.Duration {
 	total := time.Duration(0)
-	for i := len(e.seen) - 1; i >= 0 && e.seen[i].end > from; i-- {
-		total += max(0, min(e.seen[i].end, to)-max(e.seen[i].begin, from))
+	for i := len(e.recentPrefills) - 1; i >= 0 && e.recentPrefills[i].end > from; i-- {
+		total += max(0, min(e.recentPrefills[i].end, to)-max(e.recentPrefills[i].begin, from))
 	}
 	return total
 }
 
-// stepTime returns what a token of a request took without the reading beside
-// it. Judged by the plain time, engines that read much would be taken for
-// stragglers beside those that read little.
-func (e *Engine) stepTime(perToken float64, from, to time.Duration) float64 {
-	read := min(maxReadShare, e.readBetween(from, to).Seconds()/max(to-from, 1).Seconds())
-	return perToken * (1 - read)
+// timeWithoutPrefill returns a request's time per token without the prefill that
+// ran beside it. Compared by the uncorrected time, engines with much prefill would
+// be taken for stragglers.
+func (e *Engine) timeWithoutPrefill(perToken float64, from, to time.Duration) float64 {
+	prefillShare := min(maxPrefillShare, e.prefillTimeBetween(from, to).Seconds()/max(to-from, 1).Seconds())
+	return perToken * (1 - prefillShare)
 }
 
-// canDecode tells whether an engine batches and takes work.
+// canDecode reports whether an engine batches and accepts requests.
 func (e *Engine) canDecode(now time.Duration) bool {
 	return e.Memory > 0 && !e.Closed && !e.Ejected(now)
 }
 
 func (e *Engine) betterForDecode(other *Engine) bool {
 	switch {
-	case e.emptying != other.emptying:
-		return e.emptying
-	case e.longRuns != other.longRuns:
-		return e.longRuns < other.longRuns
+	case e.releasing != other.releasing:
+		return e.releasing
+	case e.longRequests != other.longRequests:
+		return e.longRequests < other.longRequests
 	}
 	return e.protected > other.protected
 }
--- a/internal/batching/headroom.go
+++ b/internal/batching/headroom.go
@@ -5,51 +5,52 @@
 	"time"
 )
 
-// Requests of classes with much time would keep every engine's backlog beyond
-// what urgent ones can bear: whenever an engine falls below it, there is
-// another of them to fill it up again. In a burst of long prompts the urgent
-// class is then late as a whole, though it needs a small part of the engines.
-// So some engines are kept free for it, as many as it needs.
+// Requests of classes with generous targets would keep the backlog of every engine
+// above the limit of urgent classes: whenever the backlog of an engine falls below
+// it, another such request fills it up again. In a burst of long prompts the whole
+// urgent class would then be late, although it needs only a small share of the
+// engines. So as many engines as it needs are kept free for it.
 
 const (
-	// headroomFactor is how many engines are kept free for each engine that a class
-	// keeps busy with reading. With one its requests would queue up for it.
+	// headroomFactor is the number of engines that are kept free for each engine
+	// that a class keeps busy with prefill. With 1, its requests would queue.
 	headroomFactor = 2.5
-	// maxHeadroom is the greatest part of the engines that is kept free.
+	// maxHeadroom is the largest share of the engines that is kept free.
 	maxHeadroom = 0.6
-	// urgency is by how much less patience a class must have to go before
-	// another one in this.
-	urgency = 1.5
-	// crowdTime is how much more backlog a request rather finds than to crowd
-	// an engine that is free for urgent ones.
-	crowdTime = 150 * time.Millisecond
+	// urgencyRatio is the ratio of backlog limits above which the class with the
+	// lower limit has priority.
+	urgencyRatio = 1.5
+	// headroomPenalty is the additional backlog that a request accepts to avoid
+	// an engine that is free for urgent requests.
+	headroomPenalty = 150 * time.Millisecond
 )
 
-// headroom is how much a request of some class may crowd the engines.
+// headroom describes which engines a request must leave to more urgent classes.
 type headroom struct {
-	// limit is the backlog that the most urgent class before it can bear; zero
-	// if there is none.
-	limit time.Duration
-	// spare is how many engines below the limit are not needed by those.
+	// backlogLimit is the lowest backlog limit of the more urgent classes; zero
+	// if there are none.
+	backlogLimit time.Duration
+	// spare is the number of engines below the limit that those classes do not
+	// need.
 	spare int
 }
 
-// crowds tells whether an engine with a backlog is free for urgent requests
-// now and no longer once a prompt that takes that long was added.
-func (r *headroom) crowds(backlog, read time.Duration) bool {
-	return r.limit > 0 && backlog <= r.limit && backlog+read > r.limit
+// exceededBy reports whether a prefill of the given time raises an engine's
+// backlog above the limit of more urgent classes.
+func (r *headroom) exceededBy(backlog, prefill time.Duration) bool {
+	return r.backlogLimit > 0 && backlog <= r.backlogLimit && backlog+prefill > r.backlogLimit
 }
 
 // headroomFor returns the headroom for a request of a class.
 func (p *Pool) headroomFor(q *Class, now time.Duration) headroom {
-	if q.Target == 0 || p.off(Headroom) {
+	if q.Target == 0 || p.isDisabled(Headroom) {
 		return headroom{spare: len(p.engines)}
 	}
-	own := p.classPatience(q)
+	own := p.classBacklogLimit(q)
 	needed, limit := 0.0, time.Duration(0)
 	for _, other := range p.classes {
-		patience := p.classPatience(other)
-		if other.Target == 0 || time.Duration(urgency*float64(patience)) >= own {
+		backlogLimit := p.classBacklogLimit(other)
+		if other.Target == 0 || time.Duration(urgencyRatio*float64(backlogLimit)) >= own {
 			continue
 		}
 		other.demand.decay(now)
@@ -57,8 +58,8 @@
 			continue
 		}
 		needed += other.demand.rate
-		if limit == 0 || patience < limit {
-			limit = patience
+		if limit == 0 || backlogLimit < limit {
+			limit = backlogLimit
 		}
 	}
 	if limit == 0 {
@@ -71,10 +72,10 @@
 		}
 	}
 	reserve := min(math.Ceil(headroomFactor*needed), maxHeadroom*float64(len(p.engines)))
-	return headroom{limit: limit, spare: free - int(reserve)}
+	return headroom{backlogLimit: limit, spare: free - int(reserve)}
 }
 
-// classPatience is the backlog that a short prompt of a class may find.
-func (p *Pool) classPatience(q *Class) time.Duration {
+// classBacklogLimit returns the backlog limit of a short prompt of a class.
+func (p *Pool) classBacklogLimit(q *Class) time.Duration {
 	return max(time.Duration(targetShare*float64(q.Target))-p.overhead, minBacklog)
 }
--- a/internal/interference/model.go
+++ b/internal/interference/model.go
@@ -1,101 +1,105 @@
-// Package interference learns what reading prompts does to the streams that
-// run beside them on engines that batch.
+// Package interference models how prefill on a batching engine delays the
+// streams that the same engine decodes.
 //
-// Such an engine works in steps. In each it makes a token for every stream and
-// reads a chunk of a prompt, if there is one. An event of a stream holds
-// several tokens, so that a long prompt puts a chunk into each of its steps and
-// the stream pauses. How long follows from two figures of the engines, which
-// the streams themselves show: the time of an event while nothing is read, and
-// the most reading that fits into one event.
+// Such an engine works in steps. Each step generates one token for every stream
+// and processes a chunk of a prompt, if one is waiting. An event of a stream
+// carries several tokens, so a long prompt adds a chunk to each of the event's
+// steps and the gap between two events grows. Its length follows from two
+// properties of the engines, which are estimated from the streams: the time of
+// an event without concurrent prefill, and the most prefill time that fits into
+// one event.
 package interference
 
 import "time"
 
 const (
-	// fullShare is the share of full events that have less reading in them.
-	// Some streams were not where the reading was thought to be.
-	fullShare = 0.8
-	// minSamples is how many streams must have been seen for a figure to count.
+	// maxPrefillQuantile is the quantile of the samples that is taken as the most
+	// prefill time per event. Some samples are too low, because the prefill did
+	// not run when it was expected to.
+	maxPrefillQuantile = 0.8
+	// minSamples is the number of samples below which an estimate is not used.
 	minSamples = 20
-	// minEvents is how many events a stream must have had to tell of pauses.
+	// minEvents is the number of events below which a stream is ignored.
 	minEvents = 5
 )
 
-// Reading is prompts that an engine reads without a break.
+// Reading is a period in which an engine processes prompts without a break.
 type Reading struct {
-	// Time is how long that takes.
+	// Time is the length of the period.
 	Time time.Duration
-	// Slowdown is by how much a token at the end of the longest prompt takes
-	// longer than one at a prompt's start. Less than 1 counts as 1.
+	// Slowdown is the processing time of a token at the end of the longest
+	// prompt relative to one at the start of a prompt. Values below 1 count as 1.
 	Slowdown float64
 }
 
-// Stream is what one answer showed.
+// Stream describes the timing of one completed response.
 type Stream struct {
 	Events int
-	// Longest is the longest pause between two events.
+	// Longest is the longest gap between two events.
 	Longest time.Duration
-	// Running is how many requests ran at its engine.
+	// Running is the number of requests that ran on the engine.
 	Running int
-	// Beside is the longest reading that its engine was given meanwhile.
+	// Beside is the longest prefill that ran on the engine at the same time.
 	Beside Reading
 }
 
-// Model has the figures of a pool's engines. The zero value knows nothing, and
-// takes each reading for one that stops the streams until it is over.
+// Model holds the estimates for the engines of a pool. The zero value has no
+// samples, and assumes that a stream has no event during a prefill.
 type Model struct {
-	// event is the time of an event by the number of running requests.
-	event crowding
-	// full is the reading that fits into an event at the start of a prompt, in
-	// seconds.
-	full quantile
+	// eventTime estimates the time of an event by the number of running requests.
+	eventTime eventTimeFit
+	// maxPrefill estimates the most prefill time that fits into an event, for
+	// tokens at the start of a prompt, in seconds.
+	maxPrefill quantile
 }
 
-// ObserveEvent takes in that events took so long, without the reading between
-// them, while so many requests ran.
+// ObserveEvent records the time of a stream's events, without the prefill
+// between them, at a number of running requests.
 func (m *Model) ObserveEvent(running int, took time.Duration) {
-	m.event.observe(float64(running), took.Seconds())
+	m.eventTime.observe(float64(running), took.Seconds())
 }
 
-// Observe takes in a stream.
+// Observe records the timing of a completed stream.
 func (m *Model) Observe(s Stream) {
-	rest := m.Event(s.Running)
-	// Only reading that went on after the longest pause shows how much fits
-	// into an event; shorter reading ended within it.
-	if s.Events < minEvents || rest == 0 || s.Beside.Time <= s.Longest || s.Longest <= rest {
+	base := m.Event(s.Running)
+	// Only a prefill that outlasted the longest gap shows how much fits into
+	// an event; a shorter one ended within the event.
+	if s.Events < minEvents || base == 0 || s.Beside.Time <= s.Longest || s.Longest <= base {
 		return
 	}
-	m.full.add((s.Longest-rest).Seconds()/s.Beside.slowdown(), fullShare)
+	m.maxPrefill.add((s.Longest-base).Seconds()/s.Beside.slowdown(), maxPrefillQuantile)
 }
 
-// Event is the time of an event while so many requests run and nothing is
-// read; zero if it is not known.
-func (m *Model) Event(running int) time.Duration { return seconds(m.event.at(float64(running))) }
+// Event returns the time of an event without concurrent prefill at a number of
+// running requests, or zero if it is unknown.
+func (m *Model) Event(running int) time.Duration {
+	return seconds(m.eventTime.predict(float64(running)))
+}
 
-// MeanEvent is Event for the requests that ran at the mean.
-func (m *Model) MeanEvent() time.Duration { return seconds(m.event.mean()) }
+// MeanEvent returns Event at the mean number of running requests.
+func (m *Model) MeanEvent() time.Duration { return seconds(m.eventTime.predictAtMean()) }
 
-// PerRun is by how much an event takes longer for each running request, as a
-// part of one with none beside it.
-func (m *Model) PerRun() float64 { return m.event.perRun() }
+// PerRun returns the additional time of an event for each running request,
+// relative to the time of an event on an otherwise idle engine.
+func (m *Model) PerRun() float64 { return m.eventTime.slopeRatio() }
 
-// Full is the most reading at the start of prompts that falls into an event;
-// zero if it is not known.
+// Full returns the most prefill time that falls into an event, for tokens at
+// the start of a prompt, or zero if it is unknown.
 func (m *Model) Full() time.Duration {
-	if m.full.n < minSamples {
+	if m.maxPrefill.n < minSamples {
 		return 0
 	}
-	return seconds(m.full.value)
+	return seconds(m.maxPrefill.value)
 }
 
-// Pause is the longest pause that a stream shows beside a reading while so many
-// requests run.
+// Pause returns the longest gap between events that a stream is expected to have
+// during a prefill, at a number of running requests.
 func (m *Model) Pause(running int, r Reading) time.Duration {
-	return m.Event(running) + m.within(r)
+	return m.Event(running) + m.prefillInEvent(r)
 }
 
-// within is how much of a reading falls into one event.
-func (m *Model) within(r Reading) time.Duration {
+// prefillInEvent returns how much of a prefill falls into one event.
+func (m *Model) prefillInEvent(r Reading) time.Duration {
 	if full := m.Full(); full > 0 {
 		return min(r.Time, time.Duration(float64(full)*r.slowdown()))
 	}
--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -15,24 +15,25 @@
 )
 
 const (
-	// maxOffers bounds how many cells a request is offered to.
-	maxOffers = 3
-	// pressureLifetime is how long a published pressure is believed.
+	// maxCellsTried is the number of cells that a request tries.
+	maxCellsTried = 3
+	// pressureLifetime is how long a published pressure is valid.
 	pressureLifetime = 3 * time.Second
-	// affinityMargin is by how much, in thousandths of a cell's places, the
-	// cell that a prefix belongs to may be more crowded than another one.
+	// affinityMargin is by how much, in thousandths of a cell's slots, the
+	// pressure of the cell preferred for a prefix may exceed that of another.
 	affinityMargin = 250
 )
 
-// pressure is how crowded a cell said to be.
+// pressure is the load that a cell has published.
 type pressure struct {
 	at    time.Time
 	tiers []*peerv1.TierPressure
 }
 
-// chooseCells returns the cells to ask for a place, in order. The first is the
-// less crowded of two: those that come first by the prompt's prefix, so that
-// prompts with one prefix meet, or two at random.
+// chooseCells returns the cells to try, in order. The first is the one with the
+// lower pressure of two candidates. For a prompt with a prefix, these are the
+// cells preferred for the prefix, so that prompts with the same prefix meet;
+// otherwise they are random.
 func (p *Placer) chooseCells(r *Request) ([]cell.ID, *outcome.Refusal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -50,16 +51,16 @@
 	if class, ok := p.table.Class(r.Class); ok {
 		tier = class.Tier
 	}
-	cells := p.ordered(all, r.Prefix)
-	if p.crowding(cells[0], tier) > p.crowding(cells[1], tier)+p.margin(cells[0], cells[1], r.Prefix) {
+	cells := p.rankCells(all, r.Prefix)
+	if p.publishedPressure(cells[0], tier) > p.publishedPressure(cells[1], tier)+p.pressureMargin(cells[0], cells[1], r.Prefix) {
 		cells[0], cells[1] = cells[1], cells[0]
 	}
-	return cells[:min(maxOffers, len(cells))], nil
+	return cells[:min(maxCellsTried, len(cells))], nil
 }
 
-// ordered returns the cells by the prefix's hash or at random, those of this
-// daemon's region first.
-func (p *Placer) ordered(all []cell.ID, prefix uint64) []cell.ID {
+// rankCells orders the cells by the hash of the prefix or at random, with those
+// in this daemon's region first.
+func (p *Placer) rankCells(all []cell.ID, prefix uint64) []cell.ID {
 	salt := prefix
 	if salt == 0 {
 		salt = rand.Uint64()
@@ -83,11 +84,12 @@
 	return cells
 }
 
-// margin is how much more crowded a may be than b and still come first.
-func (p *Placer) margin(a, b cell.ID, prefix uint64) uint32 {
+// pressureMargin returns by how much the pressure of a may exceed that of b while
+// a is still preferred.
+func (p *Placer) pressureMargin(a, b cell.ID, prefix uint64) uint32 {
 	switch {
 	case p.plan.Region(a) != p.plan.Region(b):
-		// Another region is for what the own one refuses.
+		// Other regions only get what the own region refuses.
 		return 1 << 30
 	case prefix != 0:
 		return affinityMargin
@@ -95,9 +97,9 @@
 	return 0
 }
 
-// crowding returns a cell's published pressure for a tier; unknown is zero, so
-// that a cell that nothing is known of is tried.
-func (p *Placer) crowding(id cell.ID, tier table.Tier) uint32 {
+// publishedPressure returns the pressure that a cell has published for a tier, or
+// zero if none is known, so that an unknown cell is tried.
+func (p *Placer) publishedPressure(id cell.ID, tier table.Tier) uint32 {
 	known, ok := p.pressures[id]
 	if !ok || p.clock.Since(known.at) > pressureLifetime {
 		return 0
--- a/internal/placement/choose_test.go
+++ b/internal/placement/choose_test.go
@@ -7,8 +7,8 @@
 	"github.com/beechhead/beechhead/internal/outcome"
 )
 
-// waitingByCell returns how many requests wait in each cell of a site.
-func (s *site) waitingByCell() map[string]int {
+// waitingByCell returns the number of waiting requests in each cell.
+func (s *cluster) waitingByCell() map[string]int {
 	waiting := map[string]int{}
 	for _, n := range s.nodes {
 		for _, c := range n.coordinator.Status().Cells {
@@ -18,19 +18,20 @@
 	return waiting
 }
 
-// A pool has two cells of two engines. Requests go to the cell that said it is
-// less crowded, so that all places are used though nobody names a cell; one
-// that a full cell refuses is offered to the other one before the caller is.
+// Guards against unused slots and early refusals in a pool of two cells with two
+// engines each. Requests must go to the cell with the lower published pressure, and
+// a request that a full cell refuses must be tried at the other one before the
+// caller is refused.
 func TestRequestsSpreadOverCells(t *testing.T) {
 	const engines, queue = 4, 2
-	s := newSiteOf(t, 3, 2, testTable(engines, queue))
+	s := newClusterWith(t, 3, 2, testTable(engines, queue))
 	entry := s.nodes[0]
 	for range engines {
-		s.granted(s.reserve(entry))
+		s.awaitGrant(s.reserve(entry))
 		s.run(600 * time.Millisecond)
 	}
 	for range queue {
-		s.waits(s.reserve(entry), "though all places are taken")
+		s.assertWaiting(s.reserve(entry), "though all slots are taken")
 	}
 	for id, n := range s.waitingByCell() {
 		if n != queue/2 {
@@ -38,8 +39,8 @@
 		}
 	}
 	refused := s.reserve(entry)
-	s.settle(refused.isDone)
+	s.eventually(refused.isDone)
 	if got := outcome.Of(refused.err); got.Reason != outcome.ReasonQueueFull || got.Outcome != outcome.NotRun {
-		t.Errorf("refused for %s as %s", got.Reason, got.Outcome)
+		t.Errorf("refused for %s with outcome %s, want a full queue and notRun", got.Reason, got.Outcome)
 	}
 }
--- a/internal/placement/site_test.go
+++ b/internal/placement/cluster_test.go
@@ -19,35 +19,36 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// site is some hosts whose messages and clock the test moves.
-type site struct {
+// cluster is a set of hosts whose messages and clock the test controls.
+type cluster struct {
 	t     *testing.T
 	clock *clockwork.FakeClock
 	nodes []*node
 }
 
-// node is one host: an entry daemon and a coordinator.
+// node is one host with an entry daemon and a coordinator.
 type node struct {
-	site        *site
+	cluster     *cluster
 	info        membership.Host
 	view        *membership.View
 	coordinator *cell.Coordinator
 	placer      *Placer
 	metrics     *metric.Registry
 	dead        bool
-	// cutOff hosts hear no heartbeats and pass no messages.
+	// cutOff hosts receive no heartbeats and exchange no messages with others.
 	cutOff bool
 
 	mu    sync.Mutex
-	links []*wire
+	links []*fakeLink
 }
 
-// wire is a link whose messages lie still until they are delivered.
-type wire struct {
+// fakeLink is a link that queues messages until the test delivers them.
+type fakeLink struct {
 	from, to *node
 	session  *cell.Session
 	handle   func(*peerv1.ReservationsResponse)
-	// silent wires lose everything without an end, slow ones keep it.
+	// A silent link drops all messages without closing; a slow one keeps them
+	// queued.
 	silent, slow bool
 
 	mu        sync.Mutex
@@ -62,14 +63,14 @@
 	testClass table.ClassName = "top"
 )
 
-// newSite returns hosts with a table of one pool, whose engine runs one request.
-func newSite(t *testing.T, hosts int) *site {
+// newCluster returns hosts with a table of one pool, whose engine runs one request.
+func newCluster(t *testing.T, hosts int) *cluster {
 	t.Helper()
-	return newSiteOf(t, hosts, cell.DefaultSize, testTable(1, 0))
+	return newClusterWith(t, hosts, cell.DefaultSize, testTable(1, 0))
 }
 
-// testTable returns a table of one pool with engines that run one request
-// each, and one class of which as many may wait as given.
+// testTable returns a table with one pool of engines that run one request each, and
+// one class with the given queue limit.
 func testTable(engines, queue int) *table.Table {
 	tbl := &table.Table{Classes: []table.Class{{
 		Name: testClass, Weight: 1, Pools: []table.Pool{testPool}, MaxWait: table.Duration(time.Minute), Idempotent: true,
@@ -83,12 +84,12 @@
 	return tbl
 }
 
-func newSiteOf(t *testing.T, hosts, cellSize int, tbl *table.Table) *site {
+func newClusterWith(t *testing.T, hosts, cellSize int, tbl *table.Table) *cluster {
 	t.Helper()
-	s := &site{t: t, clock: clockwork.NewFakeClock()}
+	s := &cluster{t: t, clock: clockwork.NewFakeClock()}
 	for i := range hosts {
 		id := membership.HostID("host-" + string(rune('0'+i)))
-		n := &node{site: s, metrics: metric.NewRegistry(), info: membership.Host{ID: id, Incarnation: uint64(i + 1), State: membership.Ready, Region: "r"}}
+		n := &node{cluster: s, metrics: metric.NewRegistry(), info: membership.Host{ID: id, Incarnation: uint64(i + 1), State: membership.Ready, Region: "r"}}
 		n.view = membership.NewView(s.clock, n.info)
 		n.coordinator = cell.NewCoordinator(s.clock, id, cellSize, settings.PolicyCells)
 		n.view.OnGone = func(h membership.Host) { n.coordinator.DropHost(string(h.ID), h.Incarnation) }
@@ -103,8 +104,8 @@
 }
 
 func (n *node) dial(host membership.Host, handle func(*peerv1.ReservationsResponse)) Link {
-	to := n.site.node(host.ID)
-	w := &wire{from: n, to: to, handle: handle, done: make(chan struct{})}
+	to := n.cluster.node(host.ID)
+	w := &fakeLink{from: n, to: to, handle: handle, done: make(chan struct{})}
 	if to.dead {
 		w.close()
 	}
@@ -127,7 +128,7 @@
 	return Link{Send: send, Done: w.done, Close: w.close}
 }
 
-func (w *wire) close() {
+func (w *fakeLink) close() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.closed {
@@ -136,8 +137,8 @@
 	}
 }
 
-// deliver passes on what lies on the wire; false means that there was nothing.
-func (w *wire) deliver() bool {
+// deliver delivers the queued messages and reports whether there were any.
+func (w *fakeLink) deliver() bool {
 	if w.slow {
 		return false
 	}
@@ -150,7 +151,7 @@
 		return false
 	}
 	if len(requests) > 0 {
-		// What was sent meanwhile travels in one batch, as on a stream.
+		// Merges the queued requests into one batch, as a stream would.
 		batch := &peerv1.ReservationsRequest{}
 		for _, req := range requests {
 			proto.Merge(batch, req)
@@ -163,14 +164,14 @@
 	return len(requests)+len(responses) > 0
 }
 
-func (s *site) node(id membership.HostID) *node {
+func (s *cluster) node(id membership.HostID) *node {
 	i := slices.IndexFunc(s.nodes, func(n *node) bool { return n.info.ID == id })
 	return s.nodes[i]
 }
 
-// coordinator returns the host that comes first for the pool's only cell, and
-// the others in order.
-func (s *site) ranked() []*node {
+// ranked returns the hosts in the order in which they are preferred as coordinator
+// of the pool's only cell.
+func (s *cluster) ranked() []*node {
 	var hosts []membership.Host
 	for _, n := range s.nodes {
 		hosts = append(hosts, n.info)
@@ -182,8 +183,8 @@
 	return ranked
 }
 
-// pump delivers messages until none is left.
-func (s *site) pump() {
+// deliverAll delivers messages until none is queued.
+func (s *cluster) deliverAll() {
 	for moved := true; moved; {
 		moved = false
 		for _, n := range s.nodes {
@@ -197,13 +198,13 @@
 	}
 }
 
-// run lets time pass: heartbeats, ticks and messages.
-func (s *site) run(d time.Duration) {
+// run advances the clock with heartbeats, ticks and message delivery.
+func (s *cluster) run(d time.Duration) {
 	const tick = 100 * time.Millisecond
 	for range d / tick {
 		s.clock.Advance(tick)
 		for _, n := range s.nodes {
-			s.beat(n)
+			s.exchangeHeartbeats(n)
 		}
 		for _, n := range s.nodes {
 			if n.dead {
@@ -213,13 +214,13 @@
 			n.coordinator.Tick(n.view.Ready(), n.placer.Suspects())
 			n.placer.Tick()
 		}
-		s.pump()
-		s.noticeBroken()
+		s.deliverAll()
+		s.awaitBrokenLinks()
 	}
 }
 
-// noticeBroken waits until the placers have noticed the broken links.
-func (s *site) noticeBroken() {
+// awaitBrokenLinks waits until the placers have handled the broken links.
+func (s *cluster) awaitBrokenLinks() {
 	s.t.Helper()
 	for _, n := range s.nodes {
 		for range 2000 {
@@ -229,7 +230,7 @@
 			time.Sleep(time.Millisecond)
 		}
 	}
-	s.pump()
+	s.deliverAll()
 }
 
 func (n *node) hasBrokenLink() bool {
@@ -245,9 +246,9 @@
 	return false
 }
 
-// beat stands for what comes of heartbeats: a host that can't be reached is
-// suspected, and one that is suspected wrongly refutes it.
-func (s *site) beat(n *node) {
+// exchangeHeartbeats applies the effect of heartbeats between a node and the others:
+// an unreachable host is suspected, and a wrongly suspected one refutes it.
+func (s *cluster) exchangeHeartbeats(n *node) {
 	for _, other := range s.nodes {
 		switch {
 		case other == n || other.dead:
@@ -262,8 +263,8 @@
 	}
 }
 
-// kill ends a host; its connections break at once.
-func (s *site) kill(n *node) {
+// kill stops a host, whose connections are lost at once.
+func (s *cluster) kill(n *node) {
 	n.dead = true
 	for _, other := range s.nodes {
 		for _, w := range other.links {
@@ -272,23 +273,24 @@
 			}
 		}
 	}
-	s.noticeBroken()
+	s.awaitBrokenLinks()
 }
 
-// settle lets the goroutines of the placers act until a condition holds.
-func (s *site) settle(ok func() bool) {
+// eventually delivers messages while the placers' goroutines run, until a condition
+// holds.
+func (s *cluster) eventually(ok func() bool) {
 	s.t.Helper()
 	for range 2000 {
 		time.Sleep(time.Millisecond)
-		s.pump()
+		s.deliverAll()
 		if ok() {
 			return
 		}
 	}
-	s.t.Fatal("the condition does not come true")
+	s.t.Fatal("condition was not met within 2000 polls")
 }
 
-// call is a reserve on its way.
+// call is a reservation in progress.
 type call struct {
 	grant  *Grant
 	err    error
@@ -296,8 +298,8 @@
 	cancel context.CancelFunc
 }
 
-// reserve starts a reserve and waits until it is on its way.
-func (s *site) reserve(n *node) *call {
+// reserve starts a reservation and waits until it has been sent.
+func (s *cluster) reserve(n *node) *call {
 	s.t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &call{done: make(chan struct{}), cancel: cancel}
@@ -306,7 +308,7 @@
 		defer close(c.done)
 		c.grant, c.err = n.placer.Reserve(ctx, Request{Pool: testPool, Class: testClass, Account: "a"})
 	}()
-	s.settle(func() bool { return n.pendingCount() > before || c.isDone() })
+	s.eventually(func() bool { return n.pendingCount() > before || c.isDone() })
 	return c
 }
 
@@ -325,22 +327,22 @@
 	}
 }
 
-// granted waits for the call's grant.
-func (s *site) granted(c *call) *Grant {
+// awaitGrant waits for the grant of a call.
+func (s *cluster) awaitGrant(c *call) *Grant {
 	s.t.Helper()
-	s.settle(c.isDone)
+	s.eventually(c.isDone)
 	if c.err != nil {
 		s.t.Fatal(c.err)
 	}
 	return c.grant
 }
 
-// waits fails the test if the call has ended.
-func (s *site) waits(c *call, why string) {
+// assertWaiting fails the test if the call has ended.
+func (s *cluster) assertWaiting(c *call, why string) {
 	s.t.Helper()
-	s.settle(func() bool { return true })
+	s.eventually(func() bool { return true })
 	if c.isDone() {
-		s.t.Fatalf("answered (%v, %v) %s", c.grant, c.err, why)
+		s.t.Fatalf("request was answered (%v, %v) %s", c.grant, c.err, why)
 	}
 }
 
--- a/internal/placement/grant.go
+++ b/internal/placement/grant.go
@@ -8,60 +8,62 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// Report tells how the use of a place ended.
+// Report describes how the use of a slot ended.
 type Report struct {
 	Outcome peerv1.ReleaseOutcome
-	// FirstToken and Duration are counted from the grant. FirstToken is not
-	// needed if the grant was told of the tokens.
+	// FirstToken and Duration are measured from the grant. FirstToken is not
+	// needed if Grant.Token was called.
 	FirstToken time.Duration
 	Duration   time.Duration
 	Tokens     int
 }
 
-// Choice is what the coordinator went by, for the log.
+// Choice holds the facts on which the coordinator chose the endpoint, for the
+// log.
 type Choice struct {
-	// Backlog is how long the endpoint had to read, Unread how long it will
-	// read this prompt.
+	// Backlog is the expected time until the endpoint has finished its earlier
+	// prefill, Unread the expected prefill time of this prompt.
 	Backlog, Unread time.Duration
-	// Decode endpoints are kept for streams that long reads would break.
+	// Decode means that the endpoint is reserved for streams that long prefills
+	// would delay.
 	Decode bool
 }
 
-// Grant is a place on an endpoint. It must be released. It is not safe for
+// Grant is a slot on an endpoint. It must be released. It is not safe for
 // concurrent use.
 type Grant struct {
 	Endpoint table.Endpoint
-	// FetchFrom is an engine that keeps parts of the prompt which the endpoint
-	// should fetch, or nil.
+	// FetchFrom is an engine from which the endpoint should fetch cached parts
+	// of the prompt, or nil.
 	FetchFrom *table.Endpoint
 	Choice    Choice
 
-	placer  *Placer
-	pending *pending
-	granted time.Time
-	first   time.Duration
-	tokens  int
-	// last is when the last token came, longest the longest pause between two,
-	// longestAt the number of the token after it.
-	last      time.Time
-	longest   time.Duration
-	longestAt int
-	// unlimited says that an answer came that named no limit.
+	placer     *Placer
+	pending    *pending
+	grantedAt  time.Time
+	firstToken time.Duration
+	tokens     int
+	// lastTokenAt is when the last token arrived, longestGap the longest gap
+	// between two tokens, longestGapToken the number of the token after it.
+	lastTokenAt     time.Time
+	longestGap      time.Duration
+	longestGapToken int
+	// unlimited means that a response advertised no limit.
 	unlimited bool
-	// nextProgress is the number of tokens at which progress is told next.
+	// nextProgress is the number of tokens at which progress is reported next.
 	nextProgress int
 }
 
-// Coordinator returns the host that gave the place, or that knows of it now.
+// Coordinator returns the host that gave the grant or has taken it over.
 func (g *Grant) Coordinator() membership.HostID {
 	g.placer.mu.Lock()
 	defer g.placer.mu.Unlock()
 	return g.pending.host.ID
 }
 
-// OnPreempted has f called, by a goroutine of its own, when the place must be
-// given back at once. No goroutine waits until then: a stream that is idle for
-// long should cost little memory.
+// OnPreempted sets a function that is called in its own goroutine when the slot
+// must be given up at once. No goroutine waits for this, so that idle streams need
+// little memory.
 func (g *Grant) OnPreempted(f func()) {
 	p := g.placer
 	p.mu.Lock()
@@ -72,44 +74,46 @@
 	}
 }
 
-// A grant's progress is told to the coordinator with the first token, after
-// progressAfter tokens, and again whenever there are progressFactor times as
-// many. The release comes too late to find a straggler: its answers take
-// longest.
+// A grant reports its progress to the coordinator at the first token, after
+// progressAfter tokens, and whenever the number of tokens has grown by
+// progressFactor. Waiting for the release would detect stragglers too late, because
+// their responses take longest.
 const (
 	progressAfter  = 32
 	progressFactor = 4
 )
 
-// Token tells that a token has come.
+// Token records the arrival of a token.
 func (g *Grant) Token() {
 	g.tokens++
 	now := g.placer.clock.Now()
-	if pause := now.Sub(g.last); g.tokens > 1 && pause > g.longest {
-		g.longest, g.longestAt = pause, g.tokens
+	if gap := now.Sub(g.lastTokenAt); g.tokens > 1 && gap > g.longestGap {
+		g.longestGap, g.longestGapToken = gap, g.tokens
 	}
-	g.last = now
+	g.lastTokenAt = now
 	if g.tokens == 1 {
-		g.first = now.Sub(g.granted)
+		g.firstToken = now.Sub(g.grantedAt)
 		g.nextProgress = progressAfter
-		g.sendProgress(g.first)
+		g.sendProgress(g.firstToken)
 		return
 	}
 	if g.tokens == g.nextProgress {
 		g.nextProgress *= progressFactor
-		g.sendProgress(now.Sub(g.granted))
+		g.sendProgress(now.Sub(g.grantedAt))
 	}
 }
 
-// LongestPause is the longest time between two tokens, and the number of the
-// token that ended it; zero if there was none.
-func (g *Grant) LongestPause() (pause time.Duration, token int) { return g.longest, g.longestAt }
+// LongestPause returns the longest gap between two tokens and the number of the
+// token that ended it; both are zero if there was none.
+func (g *Grant) LongestPause() (pause time.Duration, token int) {
+	return g.longestGap, g.longestGapToken
+}
 
 func (g *Grant) sendProgress(elapsed time.Duration) {
 	p := g.placer
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	g.pending.begun = true
+	g.pending.firstTokenReceived = true
 	l := p.links[g.pending.host.ID]
 	if l == nil {
 		return
@@ -117,16 +121,16 @@
 	p.sendOn(l, &peerv1.ReservationsRequest{Progress: []*peerv1.Progress{{
 		Sequence:     g.pending.sequence,
 		Cell:         g.pending.reserve.GetCell(),
-		FirstTokenUs: uint32(g.first / time.Microsecond),
+		FirstTokenUs: uint32(g.firstToken / time.Microsecond),
 		ElapsedUs:    uint32(elapsed / time.Microsecond),
 		Tokens:       uint32(g.tokens),
 	}}})
 }
 
-// Release gives the place back.
+// Release returns the slot.
 func (g *Grant) Release(r Report) {
 	if g.tokens > 0 {
-		r.FirstToken = g.first
+		r.FirstToken = g.firstToken
 	}
 	p, w := g.placer, g.pending
 	p.mu.Lock()
@@ -134,7 +138,7 @@
 	delete(p.pending, w.sequence)
 	l := p.links[w.host.ID]
 	if l == nil || l.host.Incarnation != w.host.Incarnation {
-		p.owed[w.host.ID] = true
+		p.unsettled[w.host.ID] = true
 		return
 	}
 	p.sendOn(l, &peerv1.ReservationsRequest{Releases: []*peerv1.Release{{
@@ -146,7 +150,7 @@
 		Tokens:       uint32(r.Tokens),
 		Outcome:      r.Outcome,
 
-		LongestPauseUs: uint32(g.longest / time.Microsecond),
+		LongestPauseUs: uint32(g.longestGap / time.Microsecond),
 		Unlimited:      g.unlimited,
 	}}})
 }
--- a/internal/placement/limits.go
+++ b/internal/placement/limits.go
@@ -10,40 +10,40 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// leastLimit is the least limit that is kept, in requests a second: an endpoint
-// that got none at all could not say that it takes more again.
-const leastLimit = 0.1
+// minLimit is the lowest limit that is applied, in requests per second. An endpoint
+// that receives no requests at all could not advertise a higher limit again.
+const minLimit = 0.1
 
-// tellLimitAfter is the time after which a coordinator is told of a limit again
-// that it knows: it must know that the endpoint still names it.
-const tellLimitAfter = 100 * time.Millisecond
+// limitRefreshInterval is the time after which an unchanged limit is sent to the
+// coordinator again, to show that the endpoint still advertises it.
+const limitRefreshInterval = 100 * time.Millisecond
 
-// Limit is what an answer says of how many requests its endpoint takes from
-// all hosts together.
+// Limit is the number of requests that an endpoint accepts from all hosts
+// together, as advertised in a response.
 type Limit struct {
-	// Known is false if the answer does not tell: it is another endpoint's, or
-	// what it says can't be read.
+	// Known is false if the response has no information about it: it comes from
+	// another endpoint, or its limit is invalid.
 	Known bool
-	// PerSecond is in requests a second; zero if the endpoint names no limit.
+	// PerSecond is in requests per second; zero means no limit.
 	PerSecond float64
 }
 
-// NamedLimit returns a limit that an endpoint names.
+// NamedLimit returns the limit for a rate that an endpoint advertises.
 func NamedLimit(perSecond float64) Limit {
 	if math.IsNaN(perSecond) || math.IsInf(perSecond, 0) || perSecond < 0 {
 		return Limit{}
 	}
-	return Limit{Known: true, PerSecond: max(perSecond, leastLimit)}
+	return Limit{Known: true, PerSecond: max(perSecond, minLimit)}
 }
 
-// seenLimit is the limit that an endpoint named in an answer to this daemon.
-type seenLimit struct {
+// observedLimit is the limit that an endpoint advertised to this daemon.
+type observedLimit struct {
 	cell      cell.ID
 	perSecond float64
 	at        time.Time
 }
 
-// Answered notes what an answer says of its endpoint's limit.
+// Answered records the limit that a response of the endpoint advertises.
 func (g *Grant) Answered(l Limit) {
 	if !l.Known {
 		return
@@ -57,50 +57,50 @@
 	if g.unlimited {
 		delete(p.limits, name)
 	} else {
-		seen := seenLimit{cell: cell.ID(g.pending.reserve.GetCell()), perSecond: l.PerSecond, at: p.clock.Now()}
+		seen := observedLimit{cell: cell.ID(g.pending.reserve.GetCell()), perSecond: l.PerSecond, at: p.clock.Now()}
 		p.limits[name] = seen
-		p.tellLimit(g.pending.host.ID, name, seen, old.perSecond != l.PerSecond)
+		p.sendLimit(g.pending.host.ID, name, seen, old.perSecond != l.PerSecond)
 	}
 	if known != (l.PerSecond > 0) || old.perSecond != l.PerSecond {
 		p.OnLimit(name, l.PerSecond)
 	}
 }
 
-// tellLimit tells a coordinator what an endpoint takes, at once if that is news.
+// sendLimit sends an endpoint's limit to a coordinator, at once if it has changed.
 // The caller holds the lock.
-func (p *Placer) tellLimit(host membership.HostID, name table.EndpointName, seen seenLimit, news bool) {
+func (p *Placer) sendLimit(host membership.HostID, name table.EndpointName, seen observedLimit, changed bool) {
 	l := p.links[host]
-	if l == nil || !news && seen.at.Sub(l.limits[name]) < tellLimitAfter {
+	if l == nil || !changed && seen.at.Sub(l.limits[name]) < limitRefreshInterval {
 		return
 	}
 	l.limits[name] = seen.at
-	p.sendOn(l, &peerv1.ReservationsRequest{Limits: []*peerv1.EndpointLimit{p.toLimit(name, seen)}})
+	p.sendOn(l, &peerv1.ReservationsRequest{Limits: []*peerv1.EndpointLimit{p.limitMessage(name, seen)}})
 }
 
-// untoldLimits returns the limits in a cell of which nothing was told on a link
-// yet, so that no change of coordinator loses them. The caller holds the lock.
-func (p *Placer) untoldLimits(l *hostLink, id cell.ID) (limits []*peerv1.EndpointLimit) {
+// unsentLimits returns the limits in a cell that have not been sent on a link yet,
+// so that a change of coordinator does not lose them. The caller holds the lock.
+func (p *Placer) unsentLimits(l *hostLink, id cell.ID) (limits []*peerv1.EndpointLimit) {
 	for name, seen := range p.limits {
 		if seen.cell == id && l.limits[name].IsZero() {
 			l.limits[name] = seen.at
-			limits = append(limits, p.toLimit(name, seen))
+			limits = append(limits, p.limitMessage(name, seen))
 		}
 	}
 	return limits
 }
 
-// limitsAt returns the limits in the cells that a host coordinates. The caller
-// holds the lock.
-func (p *Placer) limitsAt(host membership.HostID) (limits []*peerv1.EndpointLimit) {
+// limitsForHost returns the limits in the cells that a host coordinates. The
+// caller holds the lock.
+func (p *Placer) limitsForHost(host membership.HostID) (limits []*peerv1.EndpointLimit) {
 	for name, seen := range p.limits {
 		if p.coordinator(seen.cell, p.plan.Region(seen.cell)).ID == host {
-			limits = append(limits, p.toLimit(name, seen))
+			limits = append(limits, p.limitMessage(name, seen))
 		}
 	}
 	return limits
 }
 
-func (p *Placer) toLimit(name table.EndpointName, seen seenLimit) *peerv1.EndpointLimit {
+func (p *Placer) limitMessage(name table.EndpointName, seen observedLimit) *peerv1.EndpointLimit {
 	return &peerv1.EndpointLimit{
 		Cell:      string(seen.cell),
 		Endpoint:  string(name),
@@ -109,9 +109,9 @@
 	}
 }
 
-// forgetLimits forgets the limits of endpoints that the table no longer has.
-// The caller holds the lock.
-func (p *Placer) forgetLimits() {
+// pruneLimits removes the limits of endpoints that are no longer in the table. The
+// caller holds the lock.
+func (p *Placer) pruneLimits() {
 	for name := range p.limits {
 		if _, ok := p.table.Endpoint(name); !ok {
 			delete(p.limits, name)
--- a/internal/placement/limits_test.go
+++ b/internal/placement/limits_test.go
@@ -9,39 +9,39 @@
 )
 
 const (
-	namedPerSecond = 2
-	// limitWindow is the span in which an endpoint may get one and a half times
-	// what its limit allows, and limitSlack more.
+	advertisedPerSecond = 2
+	// In limitWindow, an endpoint may receive one and a half times the requests
+	// that its limit allows, plus limitSlack.
 	limitWindow = 4 * time.Second
 	limitSlack  = 5
-	// waitingEach is how many requests wait at each host all the time.
-	waitingEach = 6
+	// waitingPerHost is the number of requests that wait at each host.
+	waitingPerHost = 6
 )
 
-// crowd keeps requests waiting at all hosts for one endpoint, and notes when
-// they reach it.
-type crowd struct {
-	*site
+// loadGenerator keeps requests for one endpoint waiting at all hosts, and records
+// when they reach it.
+type loadGenerator struct {
+	*cluster
 	calls map[*node][]*call
-	// arrived has when requests came from hosts that were not cut off.
+	// arrived has the arrival times of requests from connected hosts.
 	arrived []time.Time
-	// perSecond is the limit that the endpoint names; zero is none.
+	// perSecond is the limit that the endpoint advertises; zero means none.
 	perSecond float64
 }
 
-func newCrowd(t *testing.T, hosts int) *crowd {
+func newLoadGenerator(t *testing.T, hosts int) *loadGenerator {
 	tbl := testTable(1, 0)
 	tbl.Endpoints[0].Concurrency = 64
-	return &crowd{site: newSiteOf(t, hosts, cell.DefaultSize, tbl), calls: map[*node][]*call{}, perSecond: namedPerSecond}
+	return &loadGenerator{cluster: newClusterWith(t, hosts, cell.DefaultSize, tbl), calls: map[*node][]*call{}, perSecond: advertisedPerSecond}
 }
 
-// step lets requests come, and the endpoint answer those that have got a place.
-func (c *crowd) step() {
+// step issues new requests and lets the endpoint respond to the granted ones.
+func (c *loadGenerator) step() {
 	for _, n := range c.nodes {
 		if n.dead {
 			continue
 		}
-		for len(c.calls[n]) < waitingEach {
+		for len(c.calls[n]) < waitingPerHost {
 			c.calls[n] = append(c.calls[n], c.reserve(n))
 		}
 		var waiting []*call
@@ -50,16 +50,16 @@
 				waiting = append(waiting, one)
 				continue
 			}
-			c.answer(n, one)
+			c.respond(n, one)
 		}
 		c.calls[n] = waiting
 	}
 	c.run(100 * time.Millisecond)
-	c.settle(c.delivered)
+	c.eventually(c.delivered)
 }
 
-// delivered tells whether every grant has reached the call that waits for it.
-func (c *crowd) delivered() bool {
+// delivered reports whether every grant has reached the call that waits for it.
+func (c *loadGenerator) delivered() bool {
 	for _, n := range c.nodes {
 		done := 0
 		for _, one := range c.calls[n] {
@@ -74,7 +74,7 @@
 	return true
 }
 
-// grantedCount returns how many grants the host holds.
+// grantedCount returns the number of grants that the host holds.
 func (n *node) grantedCount() (granted int) {
 	n.placer.mu.Lock()
 	defer n.placer.mu.Unlock()
@@ -86,30 +86,30 @@
 	return granted
 }
 
-func (c *crowd) answer(n *node, one *call) {
+func (c *loadGenerator) respond(n *node, done *call) {
 	c.t.Helper()
-	if one.err != nil {
-		c.t.Fatal(one.err)
+	if done.err != nil {
+		c.t.Fatal(done.err)
 	}
 	if !n.cutOff {
 		c.arrived = append(c.arrived, c.clock.Now())
 	}
-	said := Limit{Known: true}
+	limit := Limit{Known: true}
 	if c.perSecond > 0 {
-		said = NamedLimit(c.perSecond)
+		limit = NamedLimit(c.perSecond)
 	}
-	one.grant.Answered(said)
-	one.grant.Release(released)
+	done.grant.Answered(limit)
+	done.grant.Release(released)
 }
 
-func (c *crowd) steps(d time.Duration) {
+func (c *loadGenerator) runFor(d time.Duration) {
 	for range d / (100 * time.Millisecond) {
 		c.step()
 	}
 }
 
-// most returns the greatest number of requests that came within a window.
-func (c *crowd) most() (most int) {
+// maxInWindow returns the largest number of requests that arrived in any window.
+func (c *loadGenerator) maxInWindow() (most int) {
 	from := 0
 	for i, at := range c.arrived {
 		for at.Sub(c.arrived[from]) >= limitWindow {
@@ -120,8 +120,8 @@
 	return most
 }
 
-// end gives up what waits.
-func (c *crowd) end() {
+// cancelWaiting cancels the waiting requests.
+func (c *loadGenerator) cancelWaiting() {
 	for _, calls := range c.calls {
 		for _, one := range calls {
 			one.cancel()
@@ -129,45 +129,45 @@
 	}
 }
 
-// Guards against an endpoint getting more than it takes while its coordinator
-// dies, is cut off with its requests, and leaves: each next one must know the
-// limit before it grants anything.
+// Guards against an endpoint receiving more than its limit when its coordinator
+// fails, is cut off together with its requests, or leaves: each next coordinator
+// must know the limit before it grants anything.
 func TestLimitHoldsOverChangesOfCoordinator(t *testing.T) {
-	c := newCrowd(t, 6)
-	defer c.end()
+	c := newLoadGenerator(t, 6)
+	defer c.cancelWaiting()
 	ranked := c.ranked()
-	c.steps(2 * time.Second)
+	c.runFor(2 * time.Second)
 	c.arrived = nil
-	c.steps(4 * time.Second)
+	c.runFor(4 * time.Second)
 	c.kill(ranked[0])
-	c.steps(4 * time.Second)
+	c.runFor(4 * time.Second)
 	ranked[1].cutOff = true
-	c.steps(6 * time.Second)
+	c.runFor(6 * time.Second)
 	leaving := ranked[2]
 	leaving.info.State = membership.Leaving
 	leaving.info.Sequence++
 	leaving.view.UpdateSelf(func(h *membership.Host) { h.State = membership.Leaving })
-	c.steps(4 * time.Second)
-	allowed := namedPerSecond*3*int(limitWindow/time.Second)/2 + limitSlack
-	if got := c.most(); got > allowed {
-		t.Errorf("%d requests in %v, at most %d may be sent", got, limitWindow, allowed)
+	c.runFor(4 * time.Second)
+	allowed := advertisedPerSecond*3*int(limitWindow/time.Second)/2 + limitSlack
+	if got := c.maxInWindow(); got > allowed {
+		t.Errorf("endpoint received %d requests in %v, want at most %d", got, limitWindow, allowed)
 	}
-	if len(c.arrived) < 18*namedPerSecond/2 {
-		t.Errorf("only %d requests in 18 s", len(c.arrived))
+	if len(c.arrived) < 18*advertisedPerSecond/2 {
+		t.Errorf("endpoint received only %d requests in 18 s", len(c.arrived))
 	}
 }
 
-// Guards against a limit that never ends: once the endpoint names none, it gets
-// what waits for it.
+// Guards against a limit that never ends: once the endpoint advertises none, it
+// must receive the waiting requests.
 func TestLimitEndsWithTheAnswers(t *testing.T) {
-	c := newCrowd(t, 3)
-	defer c.end()
-	c.steps(2 * time.Second)
+	c := newLoadGenerator(t, 3)
+	defer c.cancelWaiting()
+	c.runFor(2 * time.Second)
 	c.perSecond = 0
-	c.steps(time.Second)
+	c.runFor(time.Second)
 	c.arrived = nil
-	c.steps(time.Second)
-	if len(c.arrived) < 10*3*waitingEach/2 {
-		t.Errorf("%d requests in a second after the limit has ended", len(c.arrived))
+	c.runFor(time.Second)
+	if len(c.arrived) < 10*3*waitingPerHost/2 {
+		t.Errorf("endpoint received only %d requests in the second after its limit ended", len(c.arrived))
 	}
 }
--- a/internal/placement/link.go
+++ b/internal/placement/link.go
@@ -13,44 +13,45 @@
 )
 
 const (
-	// ackTimeout bounds the time until a coordinator acknowledges a batch.
-	// It does not bound how long a request waits there.
+	// ackTimeout is the time within which a coordinator must acknowledge a
+	// batch. It does not limit how long a request waits there.
 	ackTimeout = 500 * time.Millisecond
-	// keepAlive is the time after which a batch is sent on a link that
-	// someone waits on. A connection may go silent for good while requests
-	// wait; without it nobody would notice.
+	// keepAlive is the interval at which a batch is sent on a link with pending
+	// requests. Without it, a connection that goes silent while requests wait
+	// would not be detected.
 	keepAlive = time.Second
-	// firstSuspicion is how long a host is passed over; the time doubles up
-	// to maxSuspicion until it answers.
+	// firstSuspicion is how long an unresponsive host is skipped at first. The
+	// time doubles up to maxSuspicion until the host responds.
 	firstSuspicion = time.Second
 	maxSuspicion   = 30 * time.Second
 )
 
-// hostLink is a link with the host that it leads to.
+// hostLink is a link to a host.
 type hostLink struct {
 	Link
 	host membership.Host
-	// batch counts the batches sent, acked those that were acknowledged.
+	// batch is the number of the last batch sent, acked that of the last batch
+	// acknowledged.
 	batch, acked uint64
-	// unacked is since when a batch has been waiting to be acknowledged.
-	unacked  time.Time
-	lastSent time.Time
-	// limits has when the endpoints named the limits that were last told.
+	// unackedSince is the time since which a batch has awaited acknowledgement.
+	unackedSince time.Time
+	lastSent     time.Time
+	// limits has, per endpoint, the time of the limit last sent on this link.
 	limits map[table.EndpointName]time.Time
-	// replacement says that the link before this one was silent.
+	// replacement means that this link replaced a silent one.
 	replacement bool
 }
 
-// suspicion is a host that does not answer.
+// suspicion is the state of a host that does not respond.
 type suspicion struct {
 	until   time.Time
 	backoff time.Duration
-	// tried says that a link was opened after until.
-	tried bool
+	// retried means that a link was opened again after until.
+	retried bool
 }
 
-// link returns the link to a host and opens one if there is none. The caller
-// holds the lock.
+// link returns the link to a host and opens one if there is none. The caller holds
+// the lock.
 func (p *Placer) link(host membership.Host) *hostLink {
 	l := p.links[host.ID]
 	if l != nil && l.host.Incarnation == host.Incarnation {
@@ -59,8 +60,8 @@
 	return p.open(host)
 }
 
-// open opens a link, in place of any earlier one, and reports what is pending
-// at its host.
+// open opens a link, replacing an earlier one, and reports the pending requests
+// of its host.
 func (p *Placer) open(host membership.Host) *hostLink {
 	if l := p.links[host.ID]; l != nil {
 		l.Close()
@@ -68,30 +69,30 @@
 	l := &hostLink{host: host, limits: map[table.EndpointName]time.Time{}}
 	l.Link = p.dial(host, func(resp *peerv1.ReservationsResponse) { p.receive(l, resp) })
 	p.links[host.ID] = l
-	delete(p.owed, host.ID)
+	delete(p.unsettled, host.ID)
 	p.sendOn(l, p.report(host))
 	go p.watch(l)
 	return l
 }
 
-// report lists all that is pending at a host.
+// report returns a batch with all pending requests of a host.
 func (p *Placer) report(host membership.Host) *peerv1.ReservationsRequest {
-	req := &peerv1.ReservationsRequest{HoldingsComplete: true, Limits: p.limitsAt(host.ID)}
+	req := &peerv1.ReservationsRequest{HoldingsComplete: true, Limits: p.limitsForHost(host.ID)}
 	for _, w := range p.pending {
 		if w.host.ID == host.ID {
 			w.host = host
-			p.addTo(req, w)
+			p.appendPending(req, w)
 		}
 	}
 	return req
 }
 
-// addTo adds a pending request to a report.
-func (p *Placer) addTo(req *peerv1.ReservationsRequest, w *pending) {
+// appendPending adds a pending request to a batch.
+func (p *Placer) appendPending(req *peerv1.ReservationsRequest, w *pending) {
 	if w.endpoint == "" {
-		// The first message may still be on its way: it must not change.
+		// The message sent first may still be in use and must not be modified.
 		reserve := proto.CloneOf(w.reserve)
-		reserve.WaitedMs = uint32((w.waited + p.clock.Since(w.began)) / time.Millisecond)
+		reserve.WaitedMs = uint32((w.waited + p.clock.Since(w.sentAt)) / time.Millisecond)
 		req.Reserves = append(req.Reserves, reserve)
 		return
 	}
@@ -104,14 +105,14 @@
 		EstimatedTokens: w.reserve.GetEstimatedTokens(),
 		PromptTokens:    w.reserve.GetPromptTokens(),
 		Parts:           w.reserve.GetParts(),
-		Begun:           w.begun,
+		Begun:           w.firstTokenReceived,
 	})
 }
 
 func (p *Placer) sendOn(l *hostLink, req *peerv1.ReservationsRequest) {
 	now := p.clock.Now()
 	if l.batch == l.acked {
-		l.unacked = now
+		l.unackedSince = now
 	}
 	l.lastSent = now
 	l.batch++
@@ -119,8 +120,8 @@
 	l.Send(req)
 }
 
-// watch waits for the end of a link. What was pending on it is reported over
-// a new one, or to the next coordinator if none can be had.
+// watch waits until a link is broken, and reports its pending requests over a new
+// link or to the next coordinator.
 func (p *Placer) watch(l *hostLink) {
 	<-l.Done
 	p.mu.Lock()
@@ -130,32 +131,31 @@
 	}
 	delete(p.links, l.host.ID)
 	p.metrics.Retried(outcome.ReasonNoCoordinator)
-	p.owed[l.host.ID] = l.batch > l.acked
+	p.unsettled[l.host.ID] = l.batch > l.acked
 	if l.acked == 0 {
 		p.suspect(l.host.ID)
 	}
-	p.moved = true
-	p.move()
+	p.rankingChanged = true
+	p.reassign()
 }
 
-// checkLinks finds links that have gone silent. The first time the connection
-// is replaced: one that a device between the hosts has lost track of says
-// nothing about the peer. If the new one is silent too, the peer is passed
-// over.
+// checkLinks detects silent links. The first time, the connection is replaced,
+// because a network device that has lost track of a connection makes it silent
+// although the peer works. If the new one is silent too, the host is suspected.
 func (p *Placer) checkLinks() {
 	now := p.clock.Now()
 	for id, l := range p.links {
 		switch {
-		case l.batch > l.acked && now.Sub(l.unacked) >= ackTimeout:
+		case l.batch > l.acked && now.Sub(l.unackedSince) >= ackTimeout:
 			p.replace(l)
-		case now.Sub(l.lastSent) >= keepAlive && p.waitsFor(id):
+		case now.Sub(l.lastSent) >= keepAlive && p.hasPending(id):
 			p.sendOn(l, &peerv1.ReservationsRequest{})
 		}
 	}
 }
 
-// waitsFor tells whether anything is pending at a host.
-func (p *Placer) waitsFor(id membership.HostID) bool {
+// hasPending reports whether any request is pending at a host.
+func (p *Placer) hasPending(id membership.HostID) bool {
 	for _, w := range p.pending {
 		if w.host.ID == id {
 			return true
@@ -169,9 +169,9 @@
 	delete(p.links, l.host.ID)
 	l.Close()
 	if l.replacement || p.isSuspect(l.host.ID) {
-		p.owed[l.host.ID] = true
+		p.unsettled[l.host.ID] = true
 		p.suspect(l.host.ID)
-		p.moved = true
+		p.rankingChanged = true
 		return
 	}
 	p.open(l.host).replacement = true
@@ -189,18 +189,18 @@
 		p.OnReach(id, false)
 	}
 	s.until = p.clock.Now().Add(s.backoff)
-	s.tried = false
+	s.retried = false
 	p.metrics.Inc("links.suspected")
 }
 
 func (p *Placer) isSuspect(id membership.HostID) bool { return p.suspects[id] != nil }
 
-// receive takes one batch of answers.
+// receive handles one batch of responses.
 func (p *Placer) receive(l *hostLink, resp *peerv1.ReservationsResponse) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.links[l.host.ID] != l {
-		// The link was replaced, and its answers come again on the new one.
+		// The link was replaced; its answers are repeated on the new one.
 		return
 	}
 	p.acknowledged(l, resp.GetAcked())
@@ -226,22 +226,22 @@
 		return
 	}
 	l.acked = batch
-	l.unacked = p.clock.Now()
+	l.unackedSince = p.clock.Now()
 	l.replacement = false
 	if p.isSuspect(l.host.ID) {
 		delete(p.suspects, l.host.ID)
-		p.moved = true
+		p.rankingChanged = true
 		p.OnReach(l.host.ID, true)
 	}
 }
 
-// granted takes in a grant. One that nobody waits for any more, or that comes
-// from a coordinator that the request has moved away from, is given back.
+// granted handles a grant. It returns a grant whose request has ended or has moved
+// to another coordinator.
 func (p *Placer) granted(l *hostLink, g *peerv1.Grant) {
 	name := table.EndpointName(g.GetEndpoint())
 	w := p.pending[g.GetSequence()]
 	if w == nil || w.host.ID != l.host.ID || (w.endpoint != "" && w.endpoint != name) {
-		p.sendOn(l, &peerv1.ReservationsRequest{Releases: []*peerv1.Release{callerGone(g.GetSequence(), "")}})
+		p.sendOn(l, &peerv1.ReservationsRequest{Releases: []*peerv1.Release{callerGoneRelease(g.GetSequence(), "")}})
 		return
 	}
 	if w.endpoint != "" {
@@ -266,8 +266,8 @@
 	w.answer <- answer{refusal: refusal}
 }
 
-// preempt asks a grant back. It may overtake the grant itself, which is then
-// given back as soon as it comes.
+// preempt handles the revocation of a grant. The revocation may arrive before the
+// grant, which is then returned as soon as it arrives.
 func (p *Placer) preempt(l *hostLink, seq uint64) {
 	w := p.pending[seq]
 	if w == nil || w.host.ID != l.host.ID {
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,5 +1,5 @@
-// Package placement is the entry daemon's side of the reservation protocol:
-// it asks a cell's coordinator for a place on an endpoint.
+// Package placement implements the entry daemon's side of the reservation
+// protocol: it requests a slot on an endpoint from the coordinator of a cell.
 package placement
 
 import (
@@ -18,48 +18,48 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// Request asks for a place on an endpoint of a pool.
+// Request asks for a slot on an endpoint of a pool.
 type Request struct {
 	Pool            table.Pool
 	Class           table.ClassName
 	Account         table.AccountName
 	PromptTokens    int
 	EstimatedTokens int
-	// Prefix is a hash of the start of the prompt; zero is none.
+	// Prefix is a hash of the start of the prompt; zero means none.
 	Prefix uint64
-	// Parts are the parts of the prompt in order, which engines keep by id.
+	// Parts are the parts of the prompt in order, which engines cache by ID.
 	Parts []Part
 	// Waited is how long the request has waited in earlier attempts.
 	Waited time.Duration
-	// Useful is for how long after the request came an answer that begins is of
-	// use to the caller; zero is not known.
+	// Useful is the time from the arrival of the request within which a response
+	// must begin to be of use to the caller; zero means unknown.
 	Useful time.Duration
-	// Excluded lists endpoints that failed this request.
+	// Excluded lists endpoints that have failed this request.
 	Excluded []table.EndpointName
 	Attempt  int
 }
 
-// Part is a part of a prompt that requests may share.
+// Part is a part of a prompt that several requests may share.
 type Part struct {
 	ID     uint64
 	Tokens int
 }
 
-// Link is a way to a coordinator: a stream to another daemon or this one.
+// Link is a stream to a coordinator in another daemon or in this one.
 type Link struct {
-	// Send must not block: it is called with the placer's lock held.
+	// Send must not block, because it is called with the placer's lock held.
 	Send func(*peerv1.ReservationsRequest)
 	// Done is closed when the link is broken.
 	Done <-chan struct{}
-	// Close ends the link.
+	// Close closes the link.
 	Close func()
 }
 
-// Dial opens a link on a connection of its own; each answer is given to
+// Dial opens a link on a separate connection and passes each response to
 // handle.
 type Dial func(host membership.Host, handle func(*peerv1.ReservationsResponse)) Link
 
-// Placer reserves places. It is safe for concurrent use.
+// Placer reserves slots. It is safe for concurrent use.
 type Placer struct {
 	clock   clockwork.Clock
 	view    *membership.View
@@ -67,15 +67,15 @@
 	metrics *metric.Registry
 	size    int
 	policy  settings.Policy
-	// OnAlone is called when this daemon begins or ceases to decide alone,
-	// with the number of hosts among which the endpoints are to be shared;
-	// 1 is all for itself. It must be set before the placer is used.
+	// OnAlone is called when this daemon starts or stops deciding alone, with
+	// the number of hosts among which the endpoints are divided; 1 means that
+	// this daemon may use them fully. It must be set before the placer is used.
 	OnAlone func(share int)
 	// OnReach is called, with the placer's lock held, when a coordinator is
-	// passed over because it does not answer, and when it answers again.
+	// skipped because it does not respond, and when it responds again.
 	OnReach func(host membership.HostID, reached bool)
-	// OnLimit is called, with the placer's lock held, when an endpoint names
-	// another limit than before, in requests a second; zero is none.
+	// OnLimit is called, with the placer's lock held, when an endpoint
+	// advertises a changed limit, in requests per second; zero means none.
 	OnLimit func(endpoint table.EndpointName, perSecond float64)
 
 	mu       sync.Mutex
@@ -86,38 +86,38 @@
 	links    map[membership.HostID]*hostLink
 	suspects map[membership.HostID]*suspicion
 	pending  map[uint64]*pending
-	// owed has the hosts that a release could not be sent to.
-	owed      map[membership.HostID]bool
+	// unsettled holds the hosts to which a release could not be sent.
+	unsettled map[membership.HostID]bool
 	pressures map[cell.ID]pressure
-	limits    map[table.EndpointName]seenLimit
-	// share is how many hosts the endpoints are shared among while this
-	// daemon decides alone; 1 otherwise.
+	limits    map[table.EndpointName]observedLimit
+	// share is the number of hosts among which the endpoints are divided while
+	// this daemon decides alone, or 1.
 	share int
-	// coordinators has the host that each cell's coordinator was last, as
-	// far as this daemon has told it of what it holds.
+	// coordinators holds the last coordinator of each cell to which this daemon
+	// has reported its grants and waiting requests.
 	coordinators map[cell.ID]membership.Host
-	// moved says that the order of candidates may have changed.
-	moved bool
+	// rankingChanged means that the preferred coordinators may have changed.
+	rankingChanged bool
 }
 
-// pending is a reserve without an answer or a grant in use.
+// pending is a reservation that awaits its answer or a grant in use.
 type pending struct {
 	sequence uint64
 	reserve  *peerv1.Reserve
 	region   string
-	began    time.Time
-	// waited is how long the request had waited before began.
+	sentAt   time.Time
+	// waited is how long the request had waited before sentAt.
 	waited time.Duration
-	// host is the coordinator that was asked or knows of the grant.
+	// host is the coordinator that was asked or that has the grant.
 	host membership.Host
-	// endpoint is set once granted.
+	// endpoint is set once the grant has been received.
 	endpoint table.EndpointName
-	// answer has room for the one answer.
+	// answer has a buffer for the single answer.
 	answer chan answer
-	// begun says that the first token has come.
-	begun bool
-	// preempted is set when the coordinator wants the place back, and
-	// onPreempted called then.
+	// firstTokenReceived means that the endpoint has sent the first token.
+	firstTokenReceived bool
+	// preempted is set when the coordinator revokes the grant; onPreempted is
+	// called then.
 	preempted   bool
 	onPreempted func()
 }
@@ -147,27 +147,26 @@
 		links:     map[membership.HostID]*hostLink{},
 		suspects:  map[membership.HostID]*suspicion{},
 		pending:   map[uint64]*pending{},
-		owed:      map[membership.HostID]bool{},
+		unsettled: map[membership.HostID]bool{},
 		pressures: map[cell.ID]pressure{},
-		limits:    map[table.EndpointName]seenLimit{},
+		limits:    map[table.EndpointName]observedLimit{},
 
 		coordinators: map[cell.ID]membership.Host{},
 	}
 }
 
-// Configure puts a table in force.
+// Configure applies a table.
 func (p *Placer) Configure(t *table.Table) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.table = t
 	p.plan = cell.NewPlan(t, p.size)
-	p.forgetLimits()
-	p.moved = true
+	p.pruneLimits()
+	p.rankingChanged = true
 }
 
-// Reserve waits for a place. A cell that can't take the request is followed
-// by another one. The error is a refusal with the outcome notRun or the
-// context's error.
+// Reserve waits for a slot, and tries another cell if one can't take the request.
+// The error is a refusal with the outcome notRun or the error of the context.
 func (p *Placer) Reserve(ctx context.Context, r Request) (*Grant, error) {
 	began := p.clock.Now()
 	waited := r.Waited
@@ -180,19 +179,20 @@
 		if refusal == nil {
 			return g, err
 		}
-		if !mayOffer(refusal.Reason) {
+		if !mayTryOtherCell(refusal.Reason) {
 			break
 		}
 	}
 	return nil, refusal
 }
 
-// mayOffer tells whether another cell might take what one refused.
-func mayOffer(reason outcome.Reason) bool {
+// mayTryOtherCell reports whether another cell may accept a request that was
+// refused for the given reason.
+func mayTryOtherCell(reason outcome.Reason) bool {
 	return reason == outcome.ReasonShed || reason == outcome.ReasonQueueFull || reason == outcome.ReasonNoEndpoint
 }
 
-// reserveIn waits for a place in one cell.
+// reserveIn waits for a slot in one cell.
 func (p *Placer) reserveIn(ctx context.Context, id cell.ID, r *Request) (*Grant, *outcome.Refusal, error) {
 	w := p.send(id, r)
 	select {
@@ -213,7 +213,7 @@
 	e, ok := p.table.Endpoint(a.endpoint)
 	source, _ := p.table.Endpoint(a.fetchFrom)
 	p.mu.Unlock()
-	g := &Grant{placer: p, pending: w, granted: p.clock.Now()}
+	g := &Grant{placer: p, pending: w, grantedAt: p.clock.Now()}
 	if !ok {
 		g.Release(Report{Outcome: peerv1.ReleaseOutcome_RELEASE_OUTCOME_CALLER_GONE})
 		return nil, outcome.NotRunError(outcome.ReasonNoEndpoint, "the endpoint has left the table")
@@ -224,7 +224,7 @@
 	return g, nil
 }
 
-// send asks the cell's coordinator.
+// send sends a reservation to the coordinator of a cell.
 func (p *Placer) send(id cell.ID, r *Request) *pending {
 	reserve := &peerv1.Reserve{
 		Cell:            string(id),
@@ -258,38 +258,38 @@
 		sequence: p.sequence,
 		reserve:  reserve,
 		region:   region,
-		began:    p.clock.Now(),
+		sentAt:   p.clock.Now(),
 		waited:   r.Waited,
 		host:     host,
 		answer:   make(chan answer, 1),
 	}
 	p.pending[w.sequence] = w
-	p.sendOn(l, &peerv1.ReservationsRequest{Reserves: []*peerv1.Reserve{reserve}, Limits: p.untoldLimits(l, id)})
+	p.sendOn(l, &peerv1.ReservationsRequest{Reserves: []*peerv1.Reserve{reserve}, Limits: p.unsentLimits(l, id)})
 	return w
 }
 
-// withdraw cancels a reserve whose caller has gone.
+// withdraw cancels a reservation whose caller is gone.
 func (p *Placer) withdraw(w *pending) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.pending, w.sequence)
-	p.giveBack(w)
+	p.abandon(w)
 }
 
-// giveBack tells a pending request's coordinator that it is over, whether it
-// waits there or was granted a moment ago.
-func (p *Placer) giveBack(w *pending) {
+// abandon notifies the coordinator of a pending request that it has ended, whether
+// it waits there or has just been granted.
+func (p *Placer) abandon(w *pending) {
 	l := p.links[w.host.ID]
 	if l == nil || l.host.Incarnation != w.host.Incarnation {
-		p.owed[w.host.ID] = true
+		p.unsettled[w.host.ID] = true
 		return
 	}
 	p.sendOn(l, &peerv1.ReservationsRequest{
 		Cancels:  []uint64{w.sequence},
-		Releases: []*peerv1.Release{callerGone(w.sequence, w.reserve.GetCell())},
+		Releases: []*peerv1.Release{callerGoneRelease(w.sequence, w.reserve.GetCell())},
 	})
 }
 
-func callerGone(sequence uint64, id string) *peerv1.Release {
+func callerGoneRelease(sequence uint64, id string) *peerv1.Release {
 	return &peerv1.Release{Sequence: sequence, Cell: id, Outcome: peerv1.ReleaseOutcome_RELEASE_OUTCOME_CALLER_GONE}
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -7,50 +7,50 @@
 	"github.com/beechhead/beechhead/internal/membership"
 )
 
-// The coordinator's host dies while one request runs and another waits. The
-// one that waits must not be lost, and the next coordinator must not give it
-// the place that is taken: it learns of that place from the entry daemons.
+// Guards against a lost request and a slot granted twice when the coordinator fails
+// while one request runs and another waits. The next coordinator must learn of the
+// slot in use from the entry daemons.
 func TestNewCoordinatorLearnsWhatIsHeld(t *testing.T) {
-	s := newSite(t, 3)
+	s := newCluster(t, 3)
 	ranked := s.ranked()
 	entry, other := ranked[1], ranked[2]
-	held := s.granted(s.reserve(entry))
+	held := s.awaitGrant(s.reserve(entry))
 	waiting := s.reserve(other)
-	s.waits(waiting, "while the only place is taken")
+	s.assertWaiting(waiting, "while the only slot is taken")
 	s.kill(ranked[0])
 	s.run(3 * time.Second)
-	s.waits(waiting, "by a coordinator that does not know what is held")
+	s.assertWaiting(waiting, "by a coordinator that does not know which slots are taken")
 	held.Release(released)
 	s.run(100 * time.Millisecond)
-	s.granted(waiting)
+	s.awaitGrant(waiting)
 }
 
-// A host joins that comes first for the cell, or the coordinator begins to
-// leave: requests that wait move with the right to decide.
+// Guards against waiting requests that stay behind when another host becomes
+// coordinator, here because the first one starts to leave.
 func TestWaitingMovesWhenCoordinatorLeaves(t *testing.T) {
-	s := newSite(t, 3)
+	s := newCluster(t, 3)
 	ranked := s.ranked()
-	held := s.granted(s.reserve(ranked[1]))
+	held := s.awaitGrant(s.reserve(ranked[1]))
 	waiting := s.reserve(ranked[2])
 	leaving := ranked[0]
 	leaving.info.State = membership.Leaving
 	leaving.info.Sequence++
 	leaving.view.UpdateSelf(func(h *membership.Host) { h.State = membership.Leaving })
 	s.run(time.Second)
-	s.waits(waiting, "while the only place is taken")
+	s.assertWaiting(waiting, "while the only slot is taken")
 	if got := leaving.coordinator.Status().Cells; len(got) != 0 {
 		t.Errorf("the leaving coordinator still has %+v", got)
 	}
 	held.Release(released)
 	s.run(100 * time.Millisecond)
-	s.granted(waiting)
+	s.awaitGrant(waiting)
 }
 
-// A connection goes silent for good while new ones work. The request that
-// waits on it is answered over a new connection to the same coordinator, which
-// must not be passed over for that.
+// Guards against a host being skipped because a single connection went silent while
+// new ones work. The waiting request must be answered over a new connection to the
+// same coordinator.
 func TestSilentLinkIsReplacedBeforePeerIsSuspected(t *testing.T) {
-	s := newSite(t, 3)
+	s := newCluster(t, 3)
 	ranked := s.ranked()
 	entry := ranked[1]
 	for _, w := range entry.links {
@@ -58,22 +58,23 @@
 	}
 	call := s.reserve(entry)
 	s.run(2 * time.Second)
-	s.granted(call)
+	s.awaitGrant(call)
 	if n := entry.metrics.Count("links.suspected"); n != 0 {
-		t.Errorf("the peer was suspected %d times", n)
+		t.Errorf("the peer was suspected %d times, want 0", n)
 	}
 	if n := entry.metrics.Count("links.silent"); n != 1 {
 		t.Errorf("%d links were replaced, want 1", n)
 	}
 }
 
-// A connection goes silent after the reserve was acknowledged. The answer is
-// lost on it; the keep-alive finds that, and the answer comes again.
+// Guards against an answer lost on a connection that goes silent after it has
+// acknowledged the reservation. The keep-alive must detect this, and the answer must
+// be repeated.
 func TestLinkThatGoesSilentLaterIsFound(t *testing.T) {
-	s := newSite(t, 3)
+	s := newCluster(t, 3)
 	ranked := s.ranked()
 	entry := ranked[1]
-	held := s.granted(s.reserve(ranked[2]))
+	held := s.awaitGrant(s.reserve(ranked[2]))
 	waiting := s.reserve(entry)
 	s.run(500 * time.Millisecond)
 	for _, w := range entry.links {
@@ -81,16 +82,16 @@
 	}
 	held.Release(released)
 	s.run(3 * time.Second)
-	s.granted(waiting)
+	s.awaitGrant(waiting)
 }
 
-// A connection breaks with a release on its way. The place would be taken for
-// ever; the report on the next connection gives it back.
+// Guards against a slot that stays taken because its release was lost with its
+// connection. The report on the next connection must free it.
 func TestReleaseLostWithLinkIsReported(t *testing.T) {
-	s := newSite(t, 3)
+	s := newCluster(t, 3)
 	ranked := s.ranked()
 	entry := ranked[1]
-	held := s.granted(s.reserve(entry))
+	held := s.awaitGrant(s.reserve(entry))
 	for _, w := range entry.links {
 		w.silent = true
 	}
@@ -100,40 +101,40 @@
 		w.close()
 	}
 	s.run(2 * time.Second)
-	s.granted(s.reserve(ranked[2]))
+	s.awaitGrant(s.reserve(ranked[2]))
 }
 
-// The heartbeats of a host stop for a while, though its connections work. The
-// coordinator forgets it; its waiting request must not wait for ever.
+// Guards against a request that waits forever after its host missed heartbeats,
+// although its connections work, and the coordinator has dropped the host's state.
 func TestForgottenHostReportsAgain(t *testing.T) {
-	s := newSite(t, 3)
+	s := newCluster(t, 3)
 	ranked := s.ranked()
-	held := s.granted(s.reserve(ranked[2]))
+	held := s.awaitGrant(s.reserve(ranked[2]))
 	waiting := s.reserve(ranked[1])
 	ranked[0].coordinator.DropHost(string(ranked[1].info.ID), ranked[1].info.Incarnation)
 	held.Release(released)
 	s.run(2 * time.Second)
-	s.granted(waiting)
+	s.awaitGrant(waiting)
 }
 
-// A host that dies while it holds a place never releases it. The place comes
-// back when its heartbeats have stopped.
+// Guards against losing the slot of a host that failed without releasing it. The slot
+// must become free once the host's heartbeats have stopped.
 func TestPlacesOfDeadHostComeBack(t *testing.T) {
-	s := newSite(t, 3)
+	s := newCluster(t, 3)
 	ranked := s.ranked()
-	s.granted(s.reserve(ranked[2]))
+	s.awaitGrant(s.reserve(ranked[2]))
 	waiting := s.reserve(ranked[1])
 	s.kill(ranked[2])
-	s.waits(waiting, "before the dead host's heartbeats were missed")
+	s.assertWaiting(waiting, "before the dead host's heartbeats were missed")
 	s.run(3 * time.Second)
-	s.granted(waiting)
+	s.awaitGrant(waiting)
 }
 
-// A caller gives up at once, so that the reserve and its cancel travel in one
-// batch. The cancel must not overtake the reserve: the place would be granted
-// to nobody and never come back.
+// Guards against a cancellation that overtakes its reservation when a caller gives
+// up at once and both are sent in one batch: the slot would be granted to a request
+// that no longer exists and never be released.
 func TestCancelInOneBatchWithItsReserve(t *testing.T) {
-	s := newSite(t, 2)
+	s := newCluster(t, 2)
 	entry := s.ranked()[1]
 	for range 3 {
 		c := s.reserve(entry)
@@ -144,17 +145,17 @@
 		}
 	}
 	s.run(time.Second)
-	s.granted(s.reserve(entry))
+	s.awaitGrant(s.reserve(entry))
 }
 
-// A host loses all others. Each of them may be deciding alone, so that it
-// takes only its share of the places, and counts its requests as degraded.
+// Guards against an isolated host using all slots while other hosts may also decide
+// alone. It must use its share only and count its requests as degraded.
 func TestHostAloneTakesItsShare(t *testing.T) {
-	s := newSite(t, 4)
+	s := newCluster(t, 4)
 	entry := s.ranked()[3]
 	entry.cutOff = true
 	s.run(4 * time.Second)
-	s.granted(s.reserve(entry))
+	s.awaitGrant(s.reserve(entry))
 	if n := entry.metrics.Count("degraded"); n != 1 {
 		t.Errorf("degraded counts %d, want 1", n)
 	}
@@ -164,39 +165,40 @@
 	entry.cutOff = false
 	s.run(time.Second)
 	if entry.placer.share != 1 {
-		t.Errorf("share is %d after the cut, want 1", entry.placer.share)
+		t.Errorf("share is %d after the host was reconnected, want 1", entry.placer.share)
 	}
 }
 
-// Two hosts with different views of who is there both coordinate the cell.
-// That costs places given twice, and each request still gets one answer.
+// Two hosts with different views of the members coordinate the same cell, so that a
+// slot is granted twice. Each request must still get exactly one answer, and the slot
+// must be free only after both releases.
 func TestTwoCoordinatorsAtOnce(t *testing.T) {
-	s := newSite(t, 3)
+	s := newCluster(t, 3)
 	ranked := s.ranked()
 	ranked[0].cutOff = true
 	s.run(3 * time.Second)
-	first := s.granted(s.reserve(ranked[0]))
-	second := s.granted(s.reserve(ranked[1]))
+	first := s.awaitGrant(s.reserve(ranked[0]))
+	second := s.awaitGrant(s.reserve(ranked[1]))
 	ranked[0].cutOff = false
 	s.run(2 * time.Second)
 	waiting := s.reserve(ranked[2])
-	s.waits(waiting, "though the place is given twice")
+	s.assertWaiting(waiting, "though the slot is granted twice")
 	first.Release(released)
 	s.run(100 * time.Millisecond)
-	s.waits(waiting, "though the place is still taken once")
+	s.assertWaiting(waiting, "though the slot is still taken once")
 	second.Release(released)
 	s.run(100 * time.Millisecond)
-	s.granted(waiting)
+	s.awaitGrant(waiting)
 }
 
-// A request moves away from a coordinator and back while the link there is
-// slow, so that its cancel and its second reserve travel in one batch. The
-// cancel must not undo the reserve: nobody would ever answer the request.
+// Guards against a request that is never answered after it moved away from a
+// coordinator and back over a slow link, so that its cancellation and its second
+// reservation are in one batch. The cancellation must not apply to the second.
 func TestRequestMovesAwayAndBackInOneBatch(t *testing.T) {
-	s := newSite(t, 3)
+	s := newCluster(t, 3)
 	ranked := s.ranked()
 	entry := ranked[1]
-	held := s.granted(s.reserve(ranked[2]))
+	held := s.awaitGrant(s.reserve(ranked[2]))
 	waiting := s.reserve(entry)
 	for _, w := range entry.links {
 		w.slow = w.to == ranked[0]
@@ -204,11 +206,11 @@
 	p := entry.placer
 	p.mu.Lock()
 	p.suspect(ranked[0].info.ID)
-	p.moved = true
-	p.move()
+	p.rankingChanged = true
+	p.reassign()
 	delete(p.suspects, ranked[0].info.ID)
-	p.moved = true
-	p.move()
+	p.rankingChanged = true
+	p.reassign()
 	p.mu.Unlock()
 	for _, w := range entry.links {
 		w.slow = false
@@ -216,13 +218,13 @@
 	s.run(300 * time.Millisecond)
 	held.Release(released)
 	s.run(time.Second)
-	s.granted(waiting)
+	s.awaitGrant(waiting)
 }
 
-// The other hosts have left by themselves. The last one has all the places: it
-// is not cut off, and nobody else decides.
+// Guards against the last host limiting itself to a share after the others have
+// left on their own: it is not cut off, and no other host decides.
 func TestLastHostTakesAllPlaces(t *testing.T) {
-	s := newSite(t, 3)
+	s := newCluster(t, 3)
 	for _, n := range s.nodes[1:] {
 		n.info.State = membership.Leaving
 		n.info.Sequence++
@@ -236,5 +238,5 @@
 	if share := s.nodes[0].placer.share; share != 1 {
 		t.Errorf("share is %d, want 1", share)
 	}
-	s.granted(s.reserve(s.nodes[0]))
+	s.awaitGrant(s.reserve(s.nodes[0]))
 }
