--- a/internal/schedule/batch_test.go
+++ b/internal/schedule/batch_test.go
@@ -11,26 +11,28 @@
 	"github.com/beechhead/beechhead/internal/batching"
 )
 
-// batchSite replays a load against a cell in front of simulated engines that
-// read prompts in turn and run what they have read.
+// batchSite simulates a load on a cell of batching engines. The engines prefill
+// prompts one after the other, and generate the responses concurrently.
 type batchSite struct {
 	clock   *clockwork.FakeClock
 	cell    *Cell
 	engines map[Endpoint]*simEngine
 	pending map[RequestID]*simRequest
 	nextID  uint64
-	// first has the times to the first token by class, refused the refusals.
-	first   map[Class][]time.Duration
+	// ttft has the times to first token by class, refused the number of refusals.
+	ttft    map[Class][]time.Duration
 	refused map[Class]int
-	// again counts tokens of shared parts that an engine read though another
-	// one had read them within recentUse, fetched those fetched.
-	again, fetched int
-	lastRead       map[uint64]time.Duration
-	now            time.Duration
-	events         []simEvent
+	// recomputed counts the tokens of shared parts that an engine prefilled
+	// although some engine had done so within simRecent, fetched those that were
+	// fetched from another engine.
+	recomputed, fetched int
+	lastRead            map[uint64]time.Duration
+	now                 time.Duration
+	events              []simEvent
 }
 
-// simEngine reads rate tokens a second; a first token comes overhead later.
+// simEngine prefills rate tokens per second; the first token of a response
+// follows simOverhead after that.
 type simEngine struct {
 	rate  float64
 	ready time.Duration
@@ -45,7 +47,8 @@
 
 const (
 	simOverhead = 100 * time.Millisecond
-	// simRecent is how long after it was read a part counts as read again.
+	// simRecent is how long after a prefill another one of the same part counts
+	// as recomputed.
 	simRecent = 10 * time.Second
 )
 
@@ -54,7 +57,7 @@
 		clock:    clockwork.NewFakeClock(),
 		engines:  map[Endpoint]*simEngine{},
 		pending:  map[RequestID]*simRequest{},
-		first:    map[Class][]time.Duration{},
+		ttft:     map[Class][]time.Duration{},
 		refused:  map[Class]int{},
 		lastRead: map[uint64]time.Duration{},
 	}
@@ -69,8 +72,8 @@
 	return s
 }
 
-// arrive has a request of a class come, with a prompt whose shared part is one
-// of several things.
+// arrive adds a request whose prompt has a part shared with other requests and
+// a part of its own.
 func (s *batchSite) arrive(class Class, account Account, shared uint64, sharedTokens, own int) {
 	s.nextID++
 	r := Request{
@@ -95,7 +98,7 @@
 	}
 }
 
-// run has an engine read a prompt; the first token is told when it has.
+// run simulates the prefill and the response of a granted request.
 func (s *batchSite) run(d Decision, r *simRequest) {
 	e := s.engines[d.Endpoint]
 	has := e.parts.Cached(r.request.Parts)
@@ -107,7 +110,7 @@
 	}
 	shared := r.request.Parts[0]
 	if last, ok := s.lastRead[shared.ID]; ok && has < shared.Tokens && s.now-last < simRecent {
-		s.again += shared.Tokens
+		s.recomputed += shared.Tokens
 	}
 	s.lastRead[shared.ID] = s.now
 	e.parts.Take(r.request.Parts, 600_000)
@@ -116,7 +119,7 @@
 	at := e.ready + simOverhead
 	id, began, granted := d.ID, r.arrived, s.now
 	s.at(at, func() {
-		s.first[r.class] = append(s.first[r.class], s.now-began)
+		s.ttft[r.class] = append(s.ttft[r.class], s.now-began)
 		s.cell.Progress(id, Progress{FirstToken: s.now - granted, Tokens: 1, Elapsed: s.now - granted})
 		delete(s.pending, id)
 	})
@@ -132,8 +135,9 @@
 
 func (s *batchSite) at(t time.Duration, f func()) { s.events = append(s.events, simEvent{t, f}) }
 
-// play lets d pass in steps of a millisecond, with arrivals each.
-func (s *batchSite) play(d time.Duration, arrivals func()) {
+// play advances the time by d in steps of a millisecond and calls arrivals in
+// each.
+func (s *batchSite) advance(d time.Duration, arrivals func()) {
 	for end := s.now + d; s.now < end; {
 		s.now += time.Millisecond
 		s.clock.Advance(time.Millisecond)
@@ -153,11 +157,12 @@
 	}
 }
 
-// inTime returns the share of the class's answered requests with a first token
-// within the target.
+// inTime returns the share of the class's requests with a first token within the
+// target. Refused requests and those pending for longer than the target count as
+// late.
 func (s *batchSite) inTime(class Class, target time.Duration) float64 {
-	n, all := 0, s.refused[class]+len(s.first[class])
-	for _, t := range s.first[class] {
+	n, all := 0, s.refused[class]+len(s.ttft[class])
+	for _, t := range s.ttft[class] {
 		if t <= target {
 			n++
 		}
@@ -175,15 +180,15 @@
 	longClass   = ClassPolicy{Name: "long", Tier: 2, Weight: 1, MaxWait: 7 * time.Second, Target: 2 * time.Second}
 )
 
-// Long prompts come in a burst that takes nine tenths of what the engines can
-// read, beside a few short urgent requests. Every engine always has a long
-// prompt to read, and the urgent class as a whole misses its target though it
-// needs one engine in ten. The cause: whenever an engine comes free for urgent
-// requests, a long one that can wait takes it.
+// Guards against a burst of long prompts that makes a more urgent class miss its
+// target. The burst needs nine tenths of the prefill capacity, the urgent
+// requests one engine in ten. The failure occurs if each engine that becomes free
+// is given a long request that could wait, so that all engines always have a long
+// prompt to prefill.
 func TestBurstOfLongPromptsLeavesUrgentInTime(t *testing.T) {
 	s := newBatchSite(10, urgentClass, longClass)
 	random := rand.New(rand.NewPCG(1, 2)) //nolint:gosec // a replay
-	s.play(20*time.Second, func() {
+	s.advance(20*time.Second, func() {
 		if random.Float64() < 0.060 {
 			s.arrive("long", "a", uint64(random.IntN(100)), 4000, 2000+random.IntN(18000))
 		}
@@ -199,33 +204,34 @@
 	}
 }
 
-// Prompts share long parts, and the engine that keeps a part is busy. Reading
-// the part anew elsewhere would cost more than the request: it is fetched.
+// Prompts share long parts, and the engine that has cached a part is busy.
+// Prefilling the part again on another engine would cost more than the rest of
+// the request, so it must be fetched.
 func TestSharedPartsAreFetchedInsteadOfReadAgain(t *testing.T) {
 	s := newBatchSite(10, urgentClass, longClass)
 	random := rand.New(rand.NewPCG(3, 4)) //nolint:gosec // a replay
 	total := 0
-	s.play(20*time.Second, func() {
+	s.advance(20*time.Second, func() {
 		if random.Float64() < 0.050 {
 			total += 5000
 			s.arrive("long", "a", uint64(random.IntN(20)), 5000, 1000+random.IntN(10000))
 		}
 	})
-	if s.again > total/50 {
-		t.Errorf("%d of %d shared tokens were read again", s.again, total)
+	if s.recomputed > total/50 {
+		t.Errorf("%d of %d shared tokens were recomputed", s.recomputed, total)
 	}
 	if s.fetched == 0 {
-		t.Error("nothing was fetched")
+		t.Error("no parts were fetched")
 	}
 }
 
-// One engine hangs: it takes requests and never sends a token. Nothing says
-// so; requests must soon go elsewhere, as their first tokens do not come.
+// One engine hangs: it accepts requests, never sends a token and reports no
+// error. The missing first tokens alone must soon divert requests elsewhere.
 func TestHungEngineIsAvoided(t *testing.T) {
 	s := newBatchSite(5, urgentClass, longClass)
 	s.engines["e02"].rate = 1
 	random := rand.New(rand.NewPCG(5, 6)) //nolint:gosec // a replay
-	s.play(10*time.Second, func() {
+	s.advance(10*time.Second, func() {
 		if random.Float64() < 0.050 {
 			s.arrive("urgent", "b", 1000+uint64(random.IntN(40)), 200, 600)
 		}
@@ -239,14 +245,14 @@
 	}
 }
 
-// An engine reads at half the speed that is believed. The cell learns it by
-// the first tokens that come late, and sends less there.
+// An engine prefills at a quarter of the speed of the others. The cell must
+// detect this from late first tokens and grant it fewer requests.
 func TestSlowReaderGetsLess(t *testing.T) {
 	s := newBatchSite(4, urgentClass, longClass)
 	s.engines["e01"].rate = 20_000
 	random := rand.New(rand.NewPCG(7, 8)) //nolint:gosec // a replay
 	counts := map[Endpoint]int{}
-	s.play(20*time.Second, func() {
+	s.advance(20*time.Second, func() {
 		if random.Float64() < 0.020 {
 			s.arrive("long", "a", 1<<40|s.nextID, 1000, 5000)
 		}
@@ -260,12 +266,12 @@
 		t.Errorf("the slow engine got %d requests, another %d", counts["e01"], counts["e00"])
 	}
 	if got := s.inTime("long", 2*time.Second); got < 0.97 {
-		t.Errorf("%.3f in time", got)
+		t.Errorf("%.3f of the requests were in time, want 0.97", got)
 	}
 }
 
-// A coordinator takes over and hears what runs: requests whose first token has
-// come don't count as unread, the others do.
+// A coordinator takes over and is told the running grants. Those with a first
+// token must not count towards the prefill backlog, the others must.
 func TestHoldingsRebuildTheBacklog(t *testing.T) {
 	s := newBatchSite(1, urgentClass, longClass)
 	for i, begun := range []bool{true, false} {
@@ -276,46 +282,48 @@
 	}
 	e := s.cell.endpoints["e00"]
 	if e.Unread() != 1 || e.Held() != 2*7100 {
-		t.Errorf("%d unread, %d held", e.Unread(), e.Held())
+		t.Errorf("%d requests without a first token, want 1; %d tokens held, want %d", e.Unread(), e.Held(), 2*7100)
 	}
 }
 
-// Memory bounds what an engine is given; a request that fits nowhere waits.
+// The memory of an engine bounds its grants; a request that fits on no engine
+// must wait.
 func TestMemoryBoundsGrants(t *testing.T) {
 	s := newBatchSite(1, longClass)
 	for i := range 12 {
 		s.arrive("long", "a", uint64(i), 50_000, 5_000)
 	}
 	if held := s.cell.endpoints["e00"].Held(); held > 600_000 {
-		t.Errorf("%d tokens are held", held)
+		t.Errorf("%d tokens are held, memory is 600000", held)
 	}
 	if s.cell.waiting == 0 {
-		t.Error("nothing waits")
+		t.Error("no request waits")
 	}
 }
 
-// Forty requests of one subject run on an engine, which keeps their shared part
-// once. Counted for each of them, the engine was thought to be full and to have
-// dropped what it kept: prompts were read again elsewhere though it lay there.
+// Forty requests with a common prompt part run on an engine, which caches the
+// part once. When the part was counted once per request, the engine was
+// considered full and its other cached parts evicted, and prompts were prefilled
+// again on other engines although the engine still had them cached.
 func TestSharedPartTakesMemoryOnce(t *testing.T) {
 	s := newBatchSite(1, longClass)
 	s.arrive("long", "a", 5, 20_000, 100)
 	for range 40 {
 		s.arrive("long", "a", 7, 20_000, 100)
-		s.play(100*time.Millisecond, func() {})
+		s.advance(100*time.Millisecond, func() {})
 	}
 	if n := s.cell.endpoints["e00"].Kept([]Part{{ID: 5, Tokens: 20_000}}); n == 0 {
-		t.Error("a part is taken for dropped")
+		t.Error("a cached part is considered evicted")
 	}
 	if s.cell.waiting > 0 {
 		t.Errorf("%d requests wait for memory", s.cell.waiting)
 	}
 }
 
-// In an overload hundreds of requests wait, and each that comes or goes would
-// have all of them tried on all engines: the coordinator would be busy with
-// that alone. With 118 engines an event took 5.4 ms before classes were blocked
-// for a moment, and takes 7 µs now.
+// BenchmarkOverloadedBatchCell measures one arrival while many requests wait.
+// Without blocking of classes, each arrival and each release tries all waiting
+// requests on all engines, which saturates the coordinator under overload: with
+// 118 engines an event took 5.4 ms, and 7 µs with blocking.
 func BenchmarkOverloadedBatchCell(b *testing.B) {
 	s := newBatchSite(118, urgentClass, longClass)
 	random := rand.New(rand.NewPCG(9, 9)) //nolint:gosec // a replay
@@ -323,7 +331,7 @@
 		s.arrive("long", "a", uint64(random.IntN(400)), 5000, 2000+random.IntN(20000))
 	}
 	if s.cell.waiting < 100 {
-		b.Fatalf("%d wait", s.cell.waiting)
+		b.Fatalf("only %d requests wait", s.cell.waiting)
 	}
 	b.ResetTimer()
 	for b.Loop() {
--- a/internal/schedule/batchbench_test.go
+++ b/internal/schedule/batchbench_test.go
@@ -8,8 +8,8 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// BenchmarkBatching measures one request's reserve, decision, first token and
-// release at engines that batch, with so many requests waiting for a place.
+// BenchmarkBatching measures the reserve, decision, first token and release of
+// one request on batching engines, with the given number of requests waiting.
 func BenchmarkBatching(b *testing.B) {
 	for _, engines := range []int{32, 256, 910} {
 		for _, waiting := range []int{0, 10_000} {
--- a/internal/schedule/bench_test.go
+++ b/internal/schedule/bench_test.go
@@ -7,9 +7,8 @@
 	"time"
 )
 
-// BenchmarkGrant measures one turn of a busy cell: a release, the grant of the
-// place that it frees, and the reserve that takes the granted one's place in
-// the queue.
+// BenchmarkGrant measures one cycle of a busy cell: a release, the grant of the
+// freed slot, and a reserve that refills the queue.
 func BenchmarkGrant(b *testing.B) {
 	for _, waiting := range []int{100, 1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("waiting=%d", waiting), func(b *testing.B) { benchmarkGrant(b, waiting) })
--- a/internal/schedule/cell.go
+++ b/internal/schedule/cell.go
@@ -7,84 +7,86 @@
 	"github.com/beechhead/beechhead/internal/stat"
 )
 
-// Cell holds the queue and the places of a bounded set of endpoints. It is not
-// safe for concurrent use.
+// Cell is the scheduler of a bounded set of endpoints. It is not safe for
+// concurrent use.
 type Cell struct {
 	clock Clock
-	// start is the origin of the cell's time.
+	// start is when the cell was created; times are stored relative to it.
 	start      time.Time
 	discipline Discipline
 	maxWaiting int
 	disabled   []Mechanism
 	share      int
 
-	classes map[Class]*classQueue
-	order   []*classQueue
-	// tiers is sorted, the highest first; a tier stays when its classes go.
+	classes    map[Class]*classQueue
+	classOrder []*classQueue
+	// tiers is sorted, highest tier first. Tiers are kept after their last class
+	// has been removed.
 	tiers []*tierQueue
 
 	endpoints map[Endpoint]*endpointState
-	// list has the endpoints sorted by name.
-	list []*endpointState
-	// places is the sum of the endpoints' concurrency.
-	places int
-	// pool chooses among the endpoints that batch their requests.
+	// sortedEndpoints is sorted by name.
+	sortedEndpoints []*endpointState
+	// totalSlots is the sum of the endpoints' concurrency.
+	totalSlots int
+	// pool selects among the endpoints that batch their requests.
 	pool     *batching.Pool
 	prefixes prefixTable
 
-	entries map[RequestID]*entry
-	spare   []*entry
-	// waiting and running count entries; preempting those of the running
-	// that were asked back, agedRunning those granted by ageing.
+	entries     map[RequestID]*entry
+	freeEntries []*entry
+	// waiting and running count entries. preempting counts the running entries
+	// that are being preempted, agedRunning those that were granted by ageing.
 	waiting, running, preempting, agedRunning int
-	// sinceAged counts the grants since the last aged one.
-	sinceAged int
-	arrivals  uint64
-	grants    uint64
-	turn      int
-	setAside  []*entry
-	// decisions are those of the next step, handedOut those of the last one,
-	// whose memory the step after takes.
-	decisions, handedOut []Decision
+	// grantsSinceAged counts the grants since the last one by ageing.
+	grantsSinceAged int
+	arrivals        uint64
+	grants          uint64
+	roundRobinIndex int
+	deferred        []*entry
+	// decisions collects those for the next call of Step, returned holds those
+	// that the last call returned; the two slices are swapped to reuse memory.
+	decisions, returned []Decision
 
-	estimates   *Estimator
-	meanWork    stat.Mean
-	medianToken float64
-	medianPace  float64
-	// firstPerToken is the time to the first token per token of the prompt,
-	// in seconds.
-	firstPerToken stat.Mean
-	judged        time.Duration
-	// tooLateReviewed is when all that wait were last looked at.
-	tooLateReviewed time.Duration
-	// unjudged says that something was measured since the last judgement.
-	unjudged bool
-	scratch  []float64
-	figures  cellFigures
+	estimates          *Estimator
+	meanWork           stat.Mean
+	medianTokenTime    float64
+	medianAdjustedTime float64
+	// ttftPerToken is the time to first token per token of the prompt, in
+	// seconds.
+	ttftPerToken       stat.Mean
+	lastStragglerCheck time.Duration
+	// lastTooLateCheck is when shedTooLate last examined the queue.
+	lastTooLateCheck time.Duration
+	// hasNewSamples reports whether an endpoint was measured since the last
+	// straggler check.
+	hasNewSamples bool
+	scratch       []float64
+	counters      cellCounters
 }
 
-// NewCell returns a cell without classes and endpoints.
+// NewCell returns a cell without classes or endpoints.
 func NewCell(clock Clock) *Cell {
 	return &Cell{
-		clock:     clock,
-		start:     clock.Now(),
-		classes:   map[Class]*classQueue{},
-		endpoints: map[Endpoint]*endpointState{},
-		entries:   map[RequestID]*entry{},
-		sinceAged: agedEvery,
-		estimates: NewEstimator(),
-		meanWork:  stat.Mean{Value: defaultTokens},
-		pool:      batching.NewPool(),
+		clock:           clock,
+		start:           clock.Now(),
+		classes:         map[Class]*classQueue{},
+		endpoints:       map[Endpoint]*endpointState{},
+		entries:         map[RequestID]*entry{},
+		grantsSinceAged: agedGrantInterval,
+		estimates:       NewEstimator(),
+		meanWork:        stat.Mean{Value: defaultTokens},
+		pool:            batching.NewPool(),
 	}
 }
 
-// now returns the time since the cell was made.
+// now returns the time since the cell was created.
 func (c *Cell) now() time.Duration { return c.clock.Now().Sub(c.start) }
 
-// Idle tells whether nothing waits or runs.
+// Idle reports whether no requests are waiting or running.
 func (c *Cell) Idle() bool { return len(c.entries) == 0 }
 
-// Tiers returns the tiers of the classes, the highest first.
+// Tiers returns the tiers that have classes, highest tier first.
 func (c *Cell) Tiers() []Tier {
 	var tiers []Tier
 	for _, t := range c.tiers {
@@ -95,11 +97,11 @@
 	return tiers
 }
 
-// Step decides all that can be decided now. The result is valid until the
-// next call of Step.
+// Step makes all decisions that are possible now and returns them with those
+// made since the last call. The result is valid until the next call of Step.
 func (c *Cell) Step() []Decision {
 	now := c.now()
-	c.judge(now)
+	c.ejectStragglers(now)
 	c.pool.Review(now)
 	c.shedTooLate(now)
 	c.grantAll(now)
@@ -107,7 +109,7 @@
 	c.shedOverflow(now)
 	c.preemptAll(now)
 	out := c.decisions
-	c.decisions, c.handedOut = c.handedOut[:0], out
+	c.decisions, c.returned = c.returned[:0], out
 	return out
 }
 
--- a/internal/schedule/configure.go
+++ b/internal/schedule/configure.go
@@ -6,8 +6,8 @@
 	"github.com/beechhead/beechhead/internal/batching"
 )
 
-// Configure puts a new table in force. Waiting requests of classes that are
-// gone are refused at the next step; grants stay.
+// Configure applies a new configuration. Waiting requests of removed classes
+// are refused with the next step; existing grants are kept.
 func (c *Cell) Configure(cfg Config) {
 	c.discipline = cfg.Discipline
 	c.maxWaiting = cfg.MaxWaiting
@@ -21,14 +21,14 @@
 	c.configurePool(cfg.Disabled)
 }
 
-// configurePool tells the choice among engines what is in force.
+// configurePool passes the configuration on to the engine pool.
 func (c *Cell) configurePool(disabled []Mechanism) {
-	engines := make([]*batching.Engine, len(c.list))
-	for i, e := range c.list {
+	engines := make([]*batching.Engine, len(c.sortedEndpoints))
+	for i, e := range c.sortedEndpoints {
 		engines[i] = &e.Engine
 	}
-	classes := make([]*batching.Class, len(c.order))
-	for i, q := range c.order {
+	classes := make([]*batching.Class, len(c.classOrder))
+	for i, q := range c.classOrder {
 		classes[i] = &q.Class
 	}
 	c.pool.Configure(engines, classes, disabled)
@@ -37,7 +37,7 @@
 func (c *Cell) configureClasses(policies []ClassPolicy) {
 	old := c.classes
 	c.classes = map[Class]*classQueue{}
-	c.order = nil
+	c.classOrder = nil
 	for _, t := range c.tiers {
 		t.classes = nil
 	}
@@ -50,30 +50,31 @@
 		}
 		t := c.tier(p.Tier)
 		if q.tier != t {
-			moved = append(moved, c.takeAll(q)...)
+			moved = append(moved, c.detachFromTier(q)...)
 			q.tier = t
 			q.virtual = t.virtual
 		}
 		q.setPolicy(p)
 		t.classes = append(t.classes, q)
 		c.classes[p.Name] = q
-		c.order = append(c.order, q)
+		c.classOrder = append(c.classOrder, q)
 	}
 	for _, e := range moved {
 		e.class.push(e)
 		c.waiting++
 	}
 	for _, q := range old {
-		for _, e := range c.takeAll(q) {
+		for _, e := range c.detachFromTier(q) {
 			c.refuse(e.request.ID, RefusedClass)
-			c.free(e)
+			c.recycle(e)
 		}
 	}
 }
 
-// takeAll takes out the waiting entries of a class, and its running ones from
-// the list of preemptible grants: they belong to a tier that it leaves.
-func (c *Cell) takeAll(q *classQueue) []*entry {
+// detachFromTier removes and returns the waiting entries of a class that leaves
+// its tier. It also removes the class's running entries from the tier's list of
+// preemptible grants.
+func (c *Cell) detachFromTier(q *classQueue) []*entry {
 	if q.tier == nil {
 		return nil
 	}
@@ -95,8 +96,8 @@
 func (c *Cell) configureEndpoints(policies []EndpointPolicy) {
 	old := c.endpoints
 	c.endpoints = map[Endpoint]*endpointState{}
-	c.list = c.list[:0]
-	c.places = 0
+	c.sortedEndpoints = c.sortedEndpoints[:0]
+	c.totalSlots = 0
 	for _, p := range policies {
 		e := old[p.Name]
 		delete(old, p.Name)
@@ -105,13 +106,13 @@
 		}
 		e.setPolicy(p)
 		c.endpoints[p.Name] = e
-		c.list = append(c.list, e)
-		c.places += p.Concurrency
+		c.sortedEndpoints = append(c.sortedEndpoints, e)
+		c.totalSlots += p.Concurrency
 	}
 	for _, e := range old {
-		e.gone, e.Closed = true, true
+		e.removed, e.Closed = true, true
 	}
-	slices.SortFunc(c.list, func(a, b *endpointState) int {
+	slices.SortFunc(c.sortedEndpoints, func(a, b *endpointState) int {
 		if a.policy.Name < b.policy.Name {
 			return -1
 		}
@@ -119,7 +120,8 @@
 	})
 }
 
-// class returns the queue of a class.
+// class returns the queue of a class. The baseline disciplines have a single
+// queue.
 func (c *Cell) class(name Class) *classQueue {
 	if c.discipline != ByTier {
 		name = ""
--- a/internal/schedule/endpoint.go
+++ b/internal/schedule/endpoint.go
@@ -7,35 +7,35 @@
 	"github.com/beechhead/beechhead/internal/batching"
 )
 
-// endpointState is what the cell knows of one endpoint.
+// endpointState is the state of one endpoint.
 type endpointState struct {
-	// Engine is what the choice among engines knows of it. Running counts
-	// grants; it exceeds the concurrency only by grants that another
-	// coordinator gave.
+	// Engine is the state of the endpoint in the engine pool. Its Running counts
+	// grants, and can exceed the concurrency only through grants that another
+	// coordinator issued.
 	batching.Engine
 	policy EndpointPolicy
 	// outstanding is the estimated work of the running grants, in tokens.
 	outstanding float64
-	// turn is the number of the last grant, which breaks ties.
-	turn   uint64
-	load   loadReport
-	health health
-	limit  limit
-	// gone says that the table no longer has the endpoint.
-	gone bool
+	// lastGrant is the sequence number of the last grant; it breaks ties.
+	lastGrant uint64
+	load      loadReport
+	health    health
+	limit     rateLimit
+	// removed reports whether the endpoint was removed from the configuration.
+	removed bool
 }
 
-// newEndpoint returns an endpoint without a policy.
+// newEndpoint returns an endpoint that has no policy yet.
 func (c *Cell) newEndpoint() *endpointState {
 	e := &endpointState{}
-	e.Free = e.free
+	e.Free = e.hasFreeSlot
 	e.Ejected = e.health.ejected
-	e.Paced = e.limit.paced
-	e.Sluggishness = func() float64 { return c.sluggishness(&e.health) }
+	e.Paced = e.limit.throttled
+	e.Sluggishness = func() float64 { return c.batchingSlowness(&e.health) }
 	return e
 }
 
-// setPolicy puts what the table says of the endpoint in force.
+// setPolicy applies the configuration of the endpoint.
 func (e *endpointState) setPolicy(p EndpointPolicy) {
 	e.policy = p
 	e.Rename(string(p.Name))
@@ -43,35 +43,37 @@
 	e.Closed = p.Draining
 }
 
-// loadReport is the newest load report with what the cell itself ran then.
+// loadReport is the last load report of an endpoint, compared with the cell's
+// own grants.
 type loadReport struct {
 	at    time.Duration
 	known bool
-	// foreign counts requests beyond the cell's own grants.
+	// foreign counts the requests beyond the cell's own grants.
 	foreign int
-	// peak is the most grants that the cell ran since the report. The next
-	// report is compared with it: grants that ended while the report was on
-	// its way must not look like work of others.
-	peak int
+	// peakRunning is the maximum number of the cell's running grants since the
+	// report. The next report is compared with it, so that grants that ended
+	// while that report was in transit are not taken for requests of others.
+	peakRunning int
 }
 
 const (
-	// reportLifetime is how long a load report is believed.
+	// reportLifetime is how long a load report is used.
 	reportLifetime = 5 * time.Second
-	// promptShare is the work of a token of the prompt, in generated tokens.
-	// Engines take prompts in by large batches.
-	promptShare = 1.0 / 32
-	// affinityBound is by how much the endpoint that has the prefix may
-	// exceed the mean load and still be taken.
-	affinityBound = 1.25
+	// promptTokenWeight is the work of a prompt token relative to a generated
+	// token. It is small because engines process prompts in large batches.
+	promptTokenWeight = 1.0 / 32
+	// affinityLoadFactor limits prefix affinity: the endpoint that has cached the
+	// prefix is preferred while its load is below this multiple of the mean.
+	affinityLoadFactor = 1.25
 )
 
-func workOf(promptTokens, tokens int) float64 {
-	return float64(promptTokens)*promptShare + float64(max(1, tokens))
+func estimateWork(promptTokens, tokens int) float64 {
+	return float64(promptTokens)*promptTokenWeight + float64(max(1, tokens))
 }
 
-// foreign returns the requests that others run on the endpoint, by its last
-// report. The report alone would never do: it lags, and many requests can be
+// foreign returns the number of requests that others run on the endpoint,
+// according to its last load report. It supplements the cell's own count of
+// grants: a report alone is not enough, because it lags and many requests can be
 // granted before the next one.
 func (e *endpointState) foreign(now time.Duration) int {
 	if !e.load.known || now-e.load.at > reportLifetime {
@@ -80,44 +82,45 @@
 	return e.load.foreign
 }
 
-// free tells whether a grant fits. Work that others put on the endpoint takes
-// places too, so that requests wait here, where they are in order, and not in
-// the engine; but one place always stays, because the report may be wrong.
-func (e *endpointState) free(now time.Duration) bool {
-	if e.policy.Draining || e.gone || e.limit.paced(now) {
+// hasFreeSlot reports whether the endpoint can take another grant. Requests of
+// others occupy slots too, so that requests queue here, in scheduling order, and
+// not in the engine. One slot is always left to the cell, because the load
+// report may be wrong.
+func (e *endpointState) hasFreeSlot(now time.Duration) bool {
+	if e.policy.Draining || e.removed || e.limit.throttled(now) {
 		return false
 	}
-	limit := e.health.limit(e.policy.Concurrency, now)
+	limit := e.health.grantLimit(e.policy.Concurrency, now)
 	if e.Running >= limit {
 		return false
 	}
 	return e.Running == 0 || e.Running+e.foreign(now) < limit
 }
 
-// choose returns the endpoint for a request, or nil if none is free.
-// It also returns the engine from which parts of the prompt are to be fetched.
-func (c *Cell) choose(g *entry, now time.Duration) (best *endpointState, source *batching.Engine) {
+// chooseEndpoint returns the endpoint for a request, or nil if none is free. It
+// also returns the engine from which to fetch parts of the prompt, if any.
+func (c *Cell) chooseEndpoint(g *entry, now time.Duration) (best *endpointState, source *batching.Engine) {
 	r := &g.request
 	switch c.discipline {
 	case RoundRobin:
-		return c.inTurn(r, now), nil
+		return c.chooseRoundRobin(r, now), nil
 	case LeastOutstanding:
-		return c.fewestGrants(r, now), nil
+		return c.chooseLeastOutstanding(r, now), nil
 	}
 	p := batching.Candidate{Prompt: &g.Prompt}
 	if c.pool.Batches() {
 		p = c.pool.Candidate(&g.Work, now)
 	}
-	if home := c.prefixes.get(r.Prefix); home != nil && c.withinBound(home) && c.usable(home, r, &p, now) {
-		return home, nil
+	if preferred := c.prefixes.get(r.Prefix); preferred != nil && c.withinAffinityBound(preferred) && c.usable(preferred, r, &p, now) {
+		return preferred, nil
 	}
 	var least float64
-	for _, e := range c.list {
+	for _, e := range c.sortedEndpoints {
 		if !c.usable(e, r, &p, now) {
 			continue
 		}
-		cost, from := c.costOf(e, &p, g.work, now)
-		if best == nil || cost < least || (cost == least && e.turn < best.turn) {
+		cost, from := c.placementCost(e, &p, g.work, now)
+		if best == nil || cost < least || (cost == least && e.lastGrant < best.lastGrant) {
 			best, source, least = e, from, cost
 		}
 	}
@@ -125,66 +128,70 @@
 }
 
 func (c *Cell) usable(e *endpointState, r *Request, p *batching.Candidate, now time.Duration) bool {
-	return e.free(now) && c.pool.Takes(&e.Engine, p, now) && (len(r.Excluded) == 0 || !slices.Contains(r.Excluded, e.policy.Name))
+	return e.hasFreeSlot(now) && c.pool.Takes(&e.Engine, p, now) && (len(r.Excluded) == 0 || !slices.Contains(r.Excluded, e.policy.Name))
 }
 
-// costOf is the cost of a request at an endpoint; the least is best.
-func (c *Cell) costOf(e *endpointState, p *batching.Candidate, work float64, now time.Duration) (float64, *batching.Engine) {
+// placementCost returns the cost of running a request on an endpoint; the lowest
+// is best. For a batching engine it also returns the engine to fetch parts of the
+// prompt from.
+func (c *Cell) placementCost(e *endpointState, p *batching.Candidate, work float64, now time.Duration) (float64, *batching.Engine) {
 	if e.Memory > 0 {
 		return c.pool.Cost(&e.Engine, p, now)
 	}
-	return c.cost(e, work, now), nil
+	return c.expectedBusyTime(e, work, now), nil
 }
 
-// cost is how long the endpoint is expected to be busy with its work and the
-// request's, in tokens of an endpoint of median speed per place.
-func (c *Cell) cost(e *endpointState, work float64, now time.Duration) float64 {
+// expectedBusyTime returns how long the endpoint is expected to be busy with its
+// outstanding work and the request, per slot. The unit is the time that an
+// endpoint of median speed takes per token.
+func (c *Cell) expectedBusyTime(e *endpointState, work float64, now time.Duration) float64 {
 	total := e.outstanding + work + float64(e.foreign(now))*c.meanWork.Value
-	return total * e.health.slowness(c.medianToken) / float64(e.policy.Concurrency)
+	return total * e.health.slowness(c.medianTokenTime) / float64(e.policy.Concurrency)
 }
 
-// withinBound tells whether an endpoint's load is close enough to the mean
-// for a request to follow its prefix there.
-func (c *Cell) withinBound(e *endpointState) bool {
-	share := float64(c.running+1) * float64(e.policy.Concurrency) / float64(max(1, c.places))
-	return float64(e.Running) < affinityBound*share
+// withinAffinityBound reports whether the load of an endpoint is close enough to
+// the mean for prefix affinity to apply.
+func (c *Cell) withinAffinityBound(e *endpointState) bool {
+	share := float64(c.running+1) * float64(e.policy.Concurrency) / float64(max(1, c.totalSlots))
+	return float64(e.Running) < affinityLoadFactor*share
 }
 
-// inTurn is the choice of the baseline RoundRobin.
-func (c *Cell) inTurn(r *Request, now time.Duration) *endpointState {
-	for range c.list {
-		e := c.list[c.turn%len(c.list)]
-		c.turn++
-		if e.plainlyFree(r, now) {
+// chooseRoundRobin selects an endpoint for the baseline RoundRobin.
+func (c *Cell) chooseRoundRobin(r *Request, now time.Duration) *endpointState {
+	for range c.sortedEndpoints {
+		e := c.sortedEndpoints[c.roundRobinIndex%len(c.sortedEndpoints)]
+		c.roundRobinIndex++
+		if e.baselineUsable(r, now) {
 			return e
 		}
 	}
 	return nil
 }
 
-// fewestGrants is the choice of the baseline LeastOutstanding.
-func (c *Cell) fewestGrants(r *Request, now time.Duration) *endpointState {
+// chooseLeastOutstanding selects an endpoint for the baseline LeastOutstanding.
+func (c *Cell) chooseLeastOutstanding(r *Request, now time.Duration) *endpointState {
 	var best *endpointState
-	for _, e := range c.list {
-		if !e.plainlyFree(r, now) {
+	for _, e := range c.sortedEndpoints {
+		if !e.baselineUsable(r, now) {
 			continue
 		}
-		if best == nil || e.Running < best.Running || (e.Running == best.Running && e.turn < best.turn) {
+		if best == nil || e.Running < best.Running || (e.Running == best.Running && e.lastGrant < best.lastGrant) {
 			best = e
 		}
 	}
 	return best
 }
 
-func (e *endpointState) plainlyFree(r *Request, now time.Duration) bool {
-	return !e.policy.Draining && !e.limit.paced(now) && e.Running < e.policy.Concurrency && !slices.Contains(r.Excluded, e.policy.Name)
+func (e *endpointState) baselineUsable(r *Request, now time.Duration) bool {
+	return !e.policy.Draining && !e.limit.throttled(now) && e.Running < e.policy.Concurrency && !slices.Contains(r.Excluded, e.policy.Name)
 }
 
-// prefixSlots is how many prefixes a cell remembers.
+// prefixSlots is the size of the prefix table.
 const prefixSlots = 4096
 
-// prefixTable remembers on which endpoint a prompt's prefix was seen. It is a
-// hint only: its entries overwrite each other and may be out of date.
+// prefixTable maps prompt prefixes to the endpoints that have probably cached
+// them. Its entries are hints: colliding prefixes overwrite each other, and an
+// entry may be out of date.
 type prefixTable struct {
 	slots []prefixSlot
 }
@@ -199,19 +206,20 @@
 		return nil
 	}
 	s := &t.slots[prefix%prefixSlots]
-	if s.prefix != prefix || s.endpoint.gone {
+	if s.prefix != prefix || s.endpoint.removed {
 		return nil
 	}
 	return s.endpoint
 }
 
-// put remembers an endpoint unless the prefix has a home that still works: a
-// request that was sent elsewhere because its home was full must not move it.
+// put records the endpoint of a prefix, unless the recorded one still takes
+// requests: a request that was sent elsewhere because that endpoint was full must
+// not move the prefix.
 func (t *prefixTable) put(prefix uint64, e *endpointState, now time.Duration) {
 	if prefix == 0 {
 		return
 	}
-	if home := t.get(prefix); home != nil && !home.policy.Draining && !home.health.ejected(now) {
+	if current := t.get(prefix); current != nil && !current.policy.Draining && !current.health.ejected(now) {
 		return
 	}
 	if t.slots == nil {
--- a/internal/schedule/estimate.go
+++ b/internal/schedule/estimate.go
@@ -3,22 +3,22 @@
 import "math"
 
 const (
-	// defaultTokens is the expected answer while nothing is known.
+	// defaultTokens is the estimate for a class without history.
 	defaultTokens = 128
-	// estimateShare is the weight of a new sample in the history.
-	estimateShare = 0.05
-	// accountTrust is how many answers of an account weigh as much as the
-	// history of its class.
-	accountTrust = 8
-	// maxAccountHistories bounds the accounts whose history is kept.
+	// historySmoothing is the weight of a new sample in the history.
+	historySmoothing = 0.05
+	// accountPriorAnswers is the number of responses at which the history of an
+	// account has the same weight as that of its class.
+	accountPriorAnswers = 8
+	// maxAccountHistories limits the number of accounts whose history is kept.
 	maxAccountHistories = 8192
-	// goodFactor is the factor within which an estimate counts as good.
-	goodFactor = 2
+	// accurateFactor is the factor within which an estimate counts as accurate.
+	accurateFactor = 2
 )
 
-// Estimator expects the length of answers from those of the same class and
-// account. Lengths are taken as log-normal: the history keeps mean and
-// variance of the logarithm. Its state is bounded.
+// Estimator estimates the length of responses from previous responses to the same
+// class and account. Lengths are assumed to be log-normally distributed: the
+// history has the mean and variance of the logarithm. Its state is bounded.
 type Estimator struct {
 	classes  map[Class]*history
 	accounts map[historyKey]*history
@@ -30,20 +30,20 @@
 	account Account
 }
 
-// history has the moments of the logarithm of the lengths.
+// history has the mean and variance of the logarithm of the lengths.
 type history struct {
 	mean, variance float64
 	n              int
 }
 
-// EstimateError sums up how far the estimates were off.
+// EstimateError summarizes the errors of the estimates.
 type EstimateError struct {
-	// Answers counts the answers that were estimated.
+	// Answers counts the responses with an estimate.
 	Answers int `json:"answers"`
-	// WithinTwofold counts those between half and twice the estimate.
+	// WithinTwofold counts the responses between half and twice the estimate.
 	WithinTwofold int `json:"withinTwofold"`
 	// Bias is the mean of estimate minus length, in tokens, divided by the
-	// mean length; zero is unbiased.
+	// mean length; zero means unbiased.
 	Bias float64 `json:"bias"`
 
 	estimated, actual float64
@@ -54,7 +54,7 @@
 	return &Estimator{classes: map[Class]*history{}, accounts: map[historyKey]*history{}}
 }
 
-// Estimate returns the expected number of tokens; it is at least 1.
+// Estimate returns the expected number of tokens, at least 1.
 func (s *Estimator) Estimate(class Class, account Account) int {
 	c := s.classes[class]
 	if c == nil {
@@ -62,14 +62,14 @@
 	}
 	mean, variance := c.mean, c.variance
 	if a := s.accounts[historyKey{class, account}]; a != nil {
-		trust := float64(a.n) / float64(a.n+accountTrust)
-		mean += trust * (a.mean - mean)
-		variance += trust * (a.variance - variance)
+		weight := float64(a.n) / float64(a.n+accountPriorAnswers)
+		mean += weight * (a.mean - mean)
+		variance += weight * (a.variance - variance)
 	}
 	return max(1, int(math.Exp(mean+variance/2)))
 }
 
-// Observe takes in the length of a whole answer and the estimate it had.
+// Observe records the length of a complete response and its estimate.
 func (s *Estimator) Observe(class Class, account Account, estimated, tokens int) {
 	if tokens <= 0 {
 		return
@@ -85,16 +85,17 @@
 	key := historyKey{class, account}
 	a := s.accounts[key]
 	if a == nil {
-		s.makeRoom()
+		s.evictAccount()
 		a = &history{}
 		s.accounts[key] = a
 	}
 	a.add(log)
 }
 
-// makeRoom forgets some account when too many are known. Which one does not
-// matter much: it falls back to its class until it is learnt again.
-func (s *Estimator) makeRoom() {
+// evictAccount drops the history of an arbitrary account if the limit is
+// reached. The choice matters little: the account falls back to the estimate of
+// its class until it has history again.
+func (s *Estimator) evictAccount() {
 	if len(s.accounts) < maxAccountHistories {
 		return
 	}
@@ -104,20 +105,20 @@
 	}
 }
 
-// Error returns how far the estimates were off so far.
+// Error returns the errors of all estimates so far.
 func (s *Estimator) Error() EstimateError { return s.errors }
 
 func (h *history) add(log float64) {
 	h.n++
-	share := max(estimateShare, 1/float64(h.n))
+	weight := max(historySmoothing, 1/float64(h.n))
 	delta := log - h.mean
-	h.mean += share * delta
-	h.variance = (1 - share) * (h.variance + share*delta*delta)
+	h.mean += weight * delta
+	h.variance = (1 - weight) * (h.variance + weight*delta*delta)
 }
 
 func (e *EstimateError) add(estimated, tokens int) {
 	e.Answers++
-	if estimated <= goodFactor*tokens && tokens <= goodFactor*estimated {
+	if estimated <= accurateFactor*tokens && tokens <= accurateFactor*estimated {
 		e.WithinTwofold++
 	}
 	e.estimated += float64(estimated)
--- a/internal/schedule/estimate_test.go
+++ b/internal/schedule/estimate_test.go
@@ -7,12 +7,12 @@
 	"testing"
 )
 
-// TestEstimatesFollowClassAndAccount draws log-normal lengths of two classes
-// and of accounts that differ, and measures the estimates' error.
+// TestEstimatesFollowClassAndAccount draws log-normal lengths that depend on
+// class and account, and measures the error of the estimates.
 func TestEstimatesFollowClassAndAccount(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	s := NewEstimator()
-	// The logarithm's mean depends on class and account.
+	// The mean of the logarithm depends on class and account.
 	means := map[Class]float64{"check": math.Log(30), "summary": math.Log(400)}
 	accounts := map[Account]float64{"terse": -0.7, "usual": 0, "verbose": 0.7}
 	const sigma = 0.5
@@ -36,36 +36,36 @@
 		}
 	}
 	e := s.Error()
-	t.Logf("%d of %d within twofold, bias %.3f", e.WithinTwofold, e.Answers, e.Bias)
-	// With sigma 0.5, four of five lengths are within twofold of the mean.
+	t.Logf("%d of %d within a factor of two, bias %.3f", e.WithinTwofold, e.Answers, e.Bias)
+	// With sigma 0.5, four of five lengths are within a factor of two of the mean.
 	if share := float64(e.WithinTwofold) / float64(e.Answers); share < 0.75 {
-		t.Errorf("%.3f of the estimates are within twofold", share)
+		t.Errorf("%.3f of the estimates are within a factor of two, want 0.75", share)
 	}
 	if math.Abs(e.Bias) > 0.1 {
 		t.Errorf("bias %.3f", e.Bias)
 	}
 }
 
-// An unknown account starts from its class, an unknown class from a default,
-// and the history stays bounded however many accounts come.
+// The estimate of an unknown account is that of its class, and that of an unknown
+// class is a default. The history must stay bounded with any number of accounts.
 func TestEstimatorIsBounded(t *testing.T) {
 	s := NewEstimator()
 	if got := s.Estimate("c", "a"); got != defaultTokens {
-		t.Errorf("estimate of nothing is %d", got)
+		t.Errorf("estimate without history is %d, want %d", got, defaultTokens)
 	}
 	for i := range 3 * maxAccountHistories {
 		s.Observe("c", Account(fmt.Sprint(i)), 10, 10)
 	}
 	if n := len(s.accounts); n > maxAccountHistories {
-		t.Errorf("%d accounts are remembered", n)
+		t.Errorf("%d account histories are kept, want at most %d", n, maxAccountHistories)
 	}
 	if got := s.Estimate("c", "new"); got != 10 {
 		t.Errorf("estimate of a new account is %d, want its class's 10", got)
 	}
 }
 
-// A class forgets accounts that wait for nothing, so that a crowd of accounts
-// does not fill the memory.
+// A class must drop idle accounts, so that its memory stays bounded with any
+// number of accounts.
 func TestAccountsOfAClassAreBounded(t *testing.T) {
 	cell := NewCell(newFakeClock())
 	cell.Configure(Config{Classes: modelClasses, Endpoints: endpoints(1, 1)})
@@ -75,6 +75,6 @@
 		cell.Release(id(i), Report{Tokens: 5, Done: true})
 	}
 	if n := len(cell.classes["top"].accounts); n > maxIdleAccounts+1 {
-		t.Errorf("%d accounts are remembered", n)
+		t.Errorf("%d accounts are kept, want at most %d", n, maxIdleAccounts+1)
 	}
 }
--- a/internal/schedule/health.go
+++ b/internal/schedule/health.go
@@ -7,7 +7,8 @@
 	"github.com/beechhead/beechhead/internal/stat"
 )
 
-// EjectReason is why an endpoint gets no grants for a while.
+// EjectReason is the reason why an endpoint was ejected, that is, temporarily
+// gets no grants.
 type EjectReason string
 
 // The reasons for ejection.
@@ -17,101 +18,107 @@
 )
 
 const (
-	// failuresToEject is how many failures in a row eject an endpoint, and
-	// failedToEject the share of its requests that it failed lately.
-	failuresToEject = 3
-	failedToEject   = 0.25
-	// failedWeight is the weight of a new outcome in the share that failed.
-	failedWeight = 1.0 / 16
-	// outcomesToCompare is how many outcomes an endpoint must have for others
-	// to be compared with it.
-	outcomesToCompare = 16
-	// wellShare is the part of the endpoints, as a divisor, that is taken to
-	// show what a well one fails.
-	wellShare = 8
-	// An endpoint fails more than the others do if its share is failedFactor
-	// times theirs and failedSlack more.
-	failedFactor = 2
-	failedSlack  = 0.2
-	// samplesToEject is how many measurements a straggler is judged by.
-	samplesToEject = 3
-	// slowFactor is by how much a straggler exceeds the pool's median.
+	// An endpoint is ejected after maxConsecutiveFailures failures in a row, or
+	// if its recent failure rate exceeds maxFailureRate.
+	maxConsecutiveFailures = 3
+	maxFailureRate         = 0.25
+	// failureRateSmoothing is the weight of a new outcome in the failure rate.
+	failureRateSmoothing = 1.0 / 16
+	// minOutcomes is how many outcomes an endpoint must have for its failure
+	// rate to be used.
+	minOutcomes = 16
+	// healthyDivisor determines the baseline failure rate, that of a healthy
+	// endpoint: the failure rate that one in this many endpoints do not exceed.
+	healthyDivisor = 8
+	// An endpoint is an outlier if its failure rate exceeds failureRateFactor
+	// times the baseline plus failureRateMargin.
+	failureRateFactor = 2
+	failureRateMargin = 0.2
+	// minSpeedSamples is how many measurements it takes to compare the speed of
+	// an endpoint.
+	minSpeedSamples = 3
+	// slowFactor is the multiple of the median above which an endpoint counts as
+	// a straggler.
 	slowFactor = 2.5
-	// plainRatio is by how much engines' paces differ without telling that
-	// their speeds do.
-	plainRatio = 1.6
-	// judgeInterval is the time between two judgements.
-	judgeInterval = 100 * time.Millisecond
-	// firstBackoff is how long an endpoint stays out before it is probed;
-	// the time doubles up to maxBackoff with each probe that fails.
-	firstBackoff = time.Second
-	maxBackoff   = 8 * time.Second
-	// slowShare is the greatest share of a cell that may be out as slow.
-	slowShare = 4
-	// firstTokenBase is added to prompts, so that short ones compare.
-	firstTokenBase = 64
+	// minSpeedRatio is the ratio of engines' token times below which their speeds
+	// are treated as equal.
+	minSpeedRatio = 1.6
+	// stragglerCheckInterval is the minimum time between two straggler checks.
+	stragglerCheckInterval = 100 * time.Millisecond
+	// initialBackoff is the time from ejection to the first probe. It doubles
+	// with each failed probe, up to maxBackoff.
+	initialBackoff = time.Second
+	maxBackoff     = 8 * time.Second
+	// maxSlowDivisor limits the endpoints that are ejected as slow to one in this
+	// many endpoints of the cell.
+	maxSlowDivisor = 4
+	// ttftPromptOffset is added to the length of each prompt, so that the time to
+	// first token per prompt token is comparable for short prompts too.
+	ttftPromptOffset = 64
 )
 
-// health is what the cell knows of an endpoint's speed and failures.
+// health is the measured speed and failure history of an endpoint.
 type health struct {
-	// token is the time per generated token, first the time to the first
-	// token per token of the prompt; both in seconds.
-	token, first stat.Mean
-	// pace is token by what the engine had to do meanwhile, by which
-	// stragglers are judged; see batching.Pool.Pace.
-	pace stat.Mean
-	// failures counts those in a row, failed is the share of the requests that
-	// failed lately, and outcomes counts what it was taken from.
-	failures int
-	failed   float64
-	outcomes int
-	reason   EjectReason
-	// until is when an ejected endpoint may be probed.
-	until   time.Duration
+	// tokenTime is the time per generated token, ttft the time to first token
+	// per token of the prompt; both in seconds.
+	tokenTime, ttft stat.Mean
+	// adjustedTokenTime is tokenTime corrected for the load of the engine; it is
+	// used to detect stragglers. See batching.Pool.Pace.
+	adjustedTokenTime stat.Mean
+	// consecutiveFailures counts failures in a row, failureRate is the recent
+	// share of failed requests, and outcomes counts the outcomes in it.
+	consecutiveFailures int
+	failureRate         float64
+	outcomes            int
+	reason              EjectReason
+	// probeAt is when an ejected endpoint may be probed.
+	probeAt time.Duration
 	backoff time.Duration
-	// since is when it was ejected last.
-	since time.Duration
-	// unreachable says that an ejected endpoint does not report its load
-	// either; it is not probed with requests until it does.
+	// ejectedAt is when the endpoint was last ejected.
+	ejectedAt time.Duration
+	// unreachable reports whether an ejected endpoint does not report its load
+	// either. It is not probed with requests until it does.
 	unreachable bool
 }
 
-func (h *health) ejected(now time.Duration) bool { return h.reason != "" && now < h.until }
+func (h *health) ejected(now time.Duration) bool { return h.reason != "" && now < h.probeAt }
 
-// limit returns how many grants the endpoint may run. After its time out an
-// endpoint is probed with a single one.
-func (h *health) limit(concurrency int, now time.Duration) int {
+// grantLimit returns how many grants the endpoint may run. After an ejection it
+// is probed with a single grant.
+func (h *health) grantLimit(concurrency int, now time.Duration) int {
 	switch {
 	case h.reason == "":
 		return concurrency
-	case now < h.until:
+	case now < h.probeAt:
 		return 0
 	}
 	return 1
 }
 
-// slowness returns how much slower the endpoint is than the median.
+// slowness returns the time per token relative to the median of the endpoints,
+// bounded on both sides.
 func (h *health) slowness(median float64) float64 {
-	if h.token.N < samplesToEject || median == 0 {
+	if h.tokenTime.N < minSpeedSamples || median == 0 {
 		return 1
 	}
-	return min(max(h.token.Value/median, 0.5), slowFactor*2)
+	return min(max(h.tokenTime.Value/median, 0.5), slowFactor*2)
 }
 
-// sluggishness is slowness for engines that batch. The plain time per token
-// says more of what an engine has to read than of its speed, and the pace is
-// wrong where reading does not slow down the tokens: the engine is only taken
-// to be as slow, or as fast, as both say. Small differences count as none.
-func (c *Cell) sluggishness(h *health) float64 {
-	if h.token.N < samplesToEject || c.medianToken == 0 || c.medianPace == 0 {
+// batchingSlowness is slowness for batching engines. The measured time per token
+// depends more on the prefill load of an engine than on its speed, and the
+// adjusted one is wrong where prefill does not slow down token generation.
+// Therefore the smaller of the two deviations from the median is used, and
+// small deviations are ignored.
+func (c *Cell) batchingSlowness(h *health) float64 {
+	if h.tokenTime.N < minSpeedSamples || c.medianTokenTime == 0 || c.medianAdjustedTime == 0 {
 		return 1
 	}
-	plain, pace := h.token.Value/c.medianToken, h.pace.Value/c.medianPace
+	plain, pace := h.tokenTime.Value/c.medianTokenTime, h.adjustedTokenTime.Value/c.medianAdjustedTime
 	slow, fast := min(plain, pace), max(plain, pace)
 	switch {
-	case slow > plainRatio:
+	case slow > minSpeedRatio:
 		return min(slow, 2*slowFactor)
-	case fast < 1/plainRatio:
+	case fast < 1/minSpeedRatio:
 		return max(fast, 1.0/2)
 	}
 	return 1
@@ -119,125 +126,130 @@
 
 func (h *health) eject(reason EjectReason, now time.Duration) {
 	if h.reason == "" {
-		h.backoff = firstBackoff
+		h.backoff = initialBackoff
 	} else {
 		h.backoff = min(2*h.backoff, maxBackoff)
 	}
 	h.reason = reason
-	h.since = now
-	h.until = now + h.backoff
-	h.token, h.first, h.pace = stat.Mean{}, stat.Mean{}, stat.Mean{}
+	h.ejectedAt = now
+	h.probeAt = now + h.backoff
+	h.tokenTime, h.ttft, h.adjustedTokenTime = stat.Mean{}, stat.Mean{}, stat.Mean{}
 }
 
 func (h *health) readmit() {
 	h.reason = ""
-	h.failures = 0
+	h.consecutiveFailures = 0
 }
 
-// stale tells whether a grant was given before its endpoint was last ejected:
-// what became of it says nothing about the endpoint now.
-func (h *health) stale(granted time.Duration) bool { return h.reason != "" && granted < h.until }
+// stale reports whether a grant was given before its endpoint was ejected, so
+// that its outcome says nothing about the current state of the endpoint.
+func (h *health) stale(granted time.Duration) bool { return h.reason != "" && granted < h.probeAt }
 
-// failed takes in the failure of a grant or a report that began at that time.
-func (c *Cell) failed(e *endpointState, began, now time.Duration) {
+// recordFailure records the failure of a grant or of a load report that began at
+// the given time, and ejects the endpoint if it fails more than the others.
+func (c *Cell) recordFailure(e *endpointState, began, now time.Duration) {
 	h := &e.health
-	if h.stale(began) || c.off(FailedEjection) {
+	if h.stale(began) || c.isDisabled(FailedEjection) {
 		return
 	}
-	h.failures++
-	h.outcome(1)
+	h.consecutiveFailures++
+	h.addOutcome(1)
 	probing := h.reason != ""
 	switch {
-	case probing && !c.failsMost(h):
+	case probing && !c.isFailureOutlier(h):
 		h.readmit()
 		return
 	case probing:
-	case h.failures < failuresToEject && !h.failsOften():
+	case h.consecutiveFailures < maxConsecutiveFailures && !h.exceedsFailureRate():
 		return
-	case c.out("")+1 >= len(c.list) || !c.failsMost(h):
+	case c.countEjected("")+1 >= len(c.sortedEndpoints) || !c.isFailureOutlier(h):
 		return
 	}
 	h.eject(EjectedFailed, now)
-	c.figures.ejections++
+	c.counters.ejections++
 }
 
-// outcome takes in one more outcome: 1 is a failure, 0 none.
-func (h *health) outcome(failed float64) {
+// addOutcome adds an outcome to the failure rate: 1 for a failure, 0 for a
+// success.
+func (h *health) addOutcome(failed float64) {
 	h.outcomes++
-	h.failed += failedWeight * (failed - h.failed)
+	h.failureRate += failureRateSmoothing * (failed - h.failureRate)
 }
 
-func (h *health) failsOften() bool {
-	return h.outcomes >= outcomesToCompare && h.failed > failedToEject
+func (h *health) exceedsFailureRate() bool {
+	return h.outcomes >= minOutcomes && h.failureRate > maxFailureRate
 }
 
-// failsMost tells whether an endpoint fails more of its requests than others
-// do. While all fail alike, to shut some only leaves the others with more.
-func (c *Cell) failsMost(h *health) bool {
+// isFailureOutlier reports whether an endpoint fails a larger share of its
+// requests than the others. If all endpoints fail at the same rate, ejecting
+// some would only move their load to the others.
+func (c *Cell) isFailureOutlier(h *health) bool {
 	c.scratch = c.scratch[:0]
-	for _, e := range c.list {
-		if e.health.outcomes >= outcomesToCompare && !e.policy.Draining {
-			c.scratch = append(c.scratch, e.health.failed)
+	for _, e := range c.sortedEndpoints {
+		if e.health.outcomes >= minOutcomes && !e.policy.Draining {
+			c.scratch = append(c.scratch, e.health.failureRate)
 		}
 	}
 	if len(c.scratch) == 0 {
 		return true
 	}
 	slices.Sort(c.scratch)
-	well := c.scratch[(len(c.scratch)-1)/wellShare]
-	return h.failed > failedFactor*well+failedSlack
+	baseline := c.scratch[(len(c.scratch)-1)/healthyDivisor]
+	return h.failureRate > failureRateFactor*baseline+failureRateMargin
 }
 
-// succeeded takes in that an endpoint worked.
-func (c *Cell) succeeded(e *endpointState, now time.Duration) {
+// recordSuccess records that the endpoint served a request.
+func (c *Cell) recordSuccess(e *endpointState, now time.Duration) {
 	h := &e.health
-	h.failures = 0
-	h.outcome(0)
-	if h.reason == EjectedFailed && now >= h.until {
+	h.consecutiveFailures = 0
+	h.addOutcome(0)
+	if h.reason == EjectedFailed && now >= h.probeAt {
 		h.readmit()
 	}
 }
 
-// measured takes in how fast an endpoint was with a grant.
-func (c *Cell) measured(g *entry, p Progress, now time.Duration) {
+// recordSpeed records the speed of the endpoint as observed with a grant.
+func (c *Cell) recordSpeed(g *entry, p Progress, now time.Duration) {
 	e, promptTokens := g.endpoint, g.request.PromptTokens
 	h := &e.health
 	if h.stale(g.Granted) {
 		return
 	}
 	if p.FirstToken > 0 && e.policy.Memory == 0 {
-		perToken := p.FirstToken.Seconds() / float64(promptTokens+firstTokenBase)
-		h.first.Add(perToken)
-		c.firstPerToken.Add(perToken)
+		perToken := p.FirstToken.Seconds() / float64(promptTokens+ttftPromptOffset)
+		h.ttft.Add(perToken)
+		c.ttftPerToken.Add(perToken)
 	}
 	if p.Tokens > 1 && p.Elapsed > p.FirstToken {
 		perToken := (p.Elapsed - p.FirstToken).Seconds() / float64(p.Tokens-1)
-		h.token.Add(perToken)
-		h.pace.Add(c.pool.Pace(&e.Engine, perToken, now-(p.Elapsed-p.FirstToken), now))
+		h.tokenTime.Add(perToken)
+		h.adjustedTokenTime.Add(c.pool.Pace(&e.Engine, perToken, now-(p.Elapsed-p.FirstToken), now))
 	}
 	if h.reason == EjectedSlow {
-		c.judgeProbe(e, now)
+		c.evaluateProbe(e, now)
 	}
-	c.unjudged = true
+	c.hasNewSamples = true
 }
 
-// judgeProbe decides by one measurement whether a straggler is well again.
-func (c *Cell) judgeProbe(e *endpointState, now time.Duration) {
+// evaluateProbe decides from one measurement whether to readmit an endpoint that
+// was ejected as slow.
+func (c *Cell) evaluateProbe(e *endpointState, now time.Duration) {
 	h := &e.health
-	if h.pace.N == 0 {
+	if h.adjustedTokenTime.N == 0 {
 		return
 	}
-	if c.medianPace > 0 && h.pace.Value > slowFactor*c.medianPace && h.token.Value > slowFactor*c.medianToken {
+	if c.medianAdjustedTime > 0 && h.adjustedTokenTime.Value > slowFactor*c.medianAdjustedTime && h.tokenTime.Value > slowFactor*c.medianTokenTime {
 		h.eject(EjectedSlow, now)
 		return
 	}
 	h.readmit()
 }
 
-// out counts the ejected endpoints, of one reason if it is given.
-func (c *Cell) out(reason EjectReason) int {
+// countEjected counts the endpoints that were ejected for a reason, or for any
+// reason if it is "".
+func (c *Cell) countEjected(reason EjectReason) int {
 	n := 0
-	for _, e := range c.list {
+	for _, e := range c.sortedEndpoints {
 		if e.health.reason != "" && (reason == "" || e.health.reason == reason) {
 			n++
 		}
@@ -245,40 +257,40 @@
 	return n
 }
 
-// judge compares the endpoints with their median and ejects stragglers. A
-// straggler answers, but much more slowly than the others; a caller sees a
-// late first token or a crawling stream. The median is taken over the cell,
-// so that a slow hour of all of them ejects none.
-func (c *Cell) judge(now time.Duration) {
-	if !c.unjudged || now-c.judged < judgeInterval || c.off(SlowEjection) {
+// ejectStragglers compares the endpoints with their median and ejects
+// stragglers: endpoints that respond, but much more slowly than the others, so
+// that callers see a late first token or a slow stream. The median is taken over
+// the cell, so that no endpoint is ejected when all of them are slow.
+func (c *Cell) ejectStragglers(now time.Duration) {
+	if !c.hasNewSamples || now-c.lastStragglerCheck < stragglerCheckInterval || c.isDisabled(SlowEjection) {
 		return
 	}
-	c.judged, c.unjudged = now, false
-	medianFirst := c.median(func(h *health) stat.Mean { return h.first })
-	c.medianToken = c.median(func(h *health) stat.Mean { return h.token })
-	c.medianPace = c.median(func(h *health) stat.Mean { return h.pace })
-	for _, e := range c.list {
+	c.lastStragglerCheck, c.hasNewSamples = now, false
+	medianFirst := c.median(func(h *health) stat.Mean { return h.ttft })
+	c.medianTokenTime = c.median(func(h *health) stat.Mean { return h.tokenTime })
+	c.medianAdjustedTime = c.median(func(h *health) stat.Mean { return h.adjustedTokenTime })
+	for _, e := range c.sortedEndpoints {
 		h := &e.health
-		if h.reason != "" || !(tooSlow(h.pace, c.medianPace) && tooSlow(h.token, c.medianToken) || tooSlow(h.first, medianFirst)) {
+		if h.reason != "" || !(tooSlow(h.adjustedTokenTime, c.medianAdjustedTime) && tooSlow(h.tokenTime, c.medianTokenTime) || tooSlow(h.ttft, medianFirst)) {
 			continue
 		}
-		if c.out(EjectedSlow) >= (len(c.list)+slowShare-1)/slowShare || c.out("")+1 >= len(c.list) {
+		if c.countEjected(EjectedSlow) >= (len(c.sortedEndpoints)+maxSlowDivisor-1)/maxSlowDivisor || c.countEjected("")+1 >= len(c.sortedEndpoints) {
 			return
 		}
 		h.eject(EjectedSlow, now)
-		c.figures.ejections++
+		c.counters.ejections++
 	}
 }
 
 func tooSlow(a stat.Mean, median float64) bool {
-	return median > 0 && a.N >= samplesToEject && a.Value > slowFactor*median
+	return median > 0 && a.N >= minSpeedSamples && a.Value > slowFactor*median
 }
 
-// median returns the lower median of a figure over the endpoints that have
-// been measured, or zero if there are fewer than two.
+// median returns the lower median of a measurement over the endpoints that have
+// it, or zero if there are fewer than two.
 func (c *Cell) median(of func(*health) stat.Mean) float64 {
 	c.scratch = c.scratch[:0]
-	for _, e := range c.list {
+	for _, e := range c.sortedEndpoints {
 		if a := of(&e.health); a.N > 0 {
 			c.scratch = append(c.scratch, a.Value)
 		}
@@ -290,22 +302,22 @@
 	return c.scratch[(len(c.scratch)-1)/2]
 }
 
-// ObserveLoad takes in an endpoint's report of its load.
+// ObserveLoad records the load reported by an endpoint.
 func (c *Cell) ObserveLoad(name Endpoint, l Load) {
 	e := c.endpoints[name]
 	if e == nil {
 		return
 	}
 	now := c.now()
-	e.load = loadReport{at: now, known: true, foreign: max(0, l.Running+l.Waiting-e.load.peak), peak: e.Running}
+	e.load = loadReport{at: now, known: true, foreign: max(0, l.Running+l.Waiting-e.load.peakRunning), peakRunning: e.Running}
 	if e.health.unreachable {
 		e.health.unreachable = false
-		e.health.until = min(e.health.until, now)
+		e.health.probeAt = min(e.health.probeAt, now)
 	}
 }
 
-// LoadFailed takes in that an endpoint did not report its load. That counts
-// as a failure, so that a crashed endpoint is found without a request.
+// LoadFailed records that an endpoint did not report its load. This counts as a
+// failure, so that a crashed endpoint is detected without failing a request.
 func (c *Cell) LoadFailed(name Endpoint) {
 	e := c.endpoints[name]
 	if e == nil {
@@ -313,12 +325,12 @@
 	}
 	now := c.now()
 	if e.health.reason == "" {
-		c.failed(e, now, now)
+		c.recordFailure(e, now, now)
 	}
-	// An endpoint that reports no load is not probed with requests, but for
-	// once in a while: the report may fail where requests do not.
-	if e.health.reason != "" && now-e.health.since < maxBackoff {
+	// An endpoint that reports no load is probed with requests only from time to
+	// time: load reports may fail where requests succeed.
+	if e.health.reason != "" && now-e.health.ejectedAt < maxBackoff {
 		e.health.unreachable = true
-		e.health.until = now + firstBackoff
+		e.health.probeAt = now + initialBackoff
 	}
 }
--- a/internal/schedule/heap.go
+++ b/internal/schedule/heap.go
@@ -1,30 +1,34 @@
 package schedule
 
-// noPosition marks an element that is in no heap of a kind.
-const noPosition = -1
+// notInHeap is the index of an element that is not in the heap of that kind.
+const notInHeap = -1
 
-// The heaps that a waiting entry is in.
+// The kinds of heaps that contain a waiting entry.
 const (
-	// byTurn is the heap of its account, or of its class's late entries.
-	byTurn = iota
-	// byAge is the heap of its class, byYouth another one of its account.
-	byAge
-	byYouth
-	entryHeaps
+	// queueHeap is the heap of its account's entries, or of its class's late
+	// entries.
+	queueHeap = iota
+	// oldestHeap has all entries of its class, youngestHeap all entries of its
+	// account.
+	oldestHeap
+	youngestHeap
+	entryHeapKinds
 )
 
-// entryHeap is a binary heap of waiting entries that can remove any of them.
+// entryHeap is a binary heap of waiting entries, ordered by the start of their
+// wait: oldest first, or youngest first in a youngestHeap. Any entry can be
+// removed.
 type entryHeap struct {
 	items []*entry
 	kind  int
 }
 
-// before tells whether a stands above b.
+// before reports whether a is ordered before b.
 func (h *entryHeap) before(a, b *entry) bool {
 	if a.Since == b.Since {
-		return (a.order < b.order) != (h.kind == byYouth)
+		return (a.arrival < b.arrival) != (h.kind == youngestHeap)
 	}
-	return (a.Since < b.Since) != (h.kind == byYouth)
+	return (a.Since < b.Since) != (h.kind == youngestHeap)
 }
 
 func (h *entryHeap) first() *entry {
@@ -35,18 +39,18 @@
 }
 
 func (h *entryHeap) push(e *entry) {
-	e.position[h.kind] = len(h.items)
+	e.heapIndex[h.kind] = len(h.items)
 	h.items = append(h.items, e)
 	h.up(len(h.items) - 1)
 }
 
 func (h *entryHeap) remove(e *entry) {
-	i := e.position[h.kind]
+	i := e.heapIndex[h.kind]
 	last := len(h.items) - 1
 	h.swap(i, last)
 	h.items[last] = nil
 	h.items = h.items[:last]
-	e.position[h.kind] = noPosition
+	e.heapIndex[h.kind] = notInHeap
 	if i < last {
 		h.down(i)
 		h.up(i)
@@ -55,8 +59,8 @@
 
 func (h *entryHeap) swap(i, j int) {
 	h.items[i], h.items[j] = h.items[j], h.items[i]
-	h.items[i].position[h.kind] = i
-	h.items[j].position[h.kind] = j
+	h.items[i].heapIndex[h.kind] = i
+	h.items[j].heapIndex[h.kind] = j
 }
 
 func (h *entryHeap) up(i int) {
@@ -87,17 +91,17 @@
 	}
 }
 
-// The heaps that an account with waiting entries is in.
+// The kinds of heaps that contain an account with waiting entries.
 const (
-	// byVirtual has the accounts with entries in time, the one with the
-	// least virtual time first.
-	byVirtual = iota
-	// bySize has all that have entries, the one with the most first.
-	bySize
-	accountHeaps
+	// virtualTimeHeap has the accounts with entries that are not late, the
+	// lowest virtual time first.
+	virtualTimeHeap = iota
+	// queueLengthHeap has all accounts with entries, the longest queue first.
+	queueLengthHeap
+	accountHeapKinds
 )
 
-// accountHeap is a binary heap of accounts that can remove any of them.
+// accountHeap is a binary heap of accounts. Any account can be removed.
 type accountHeap struct {
 	items []*accountQueue
 	kind  int
@@ -105,7 +109,7 @@
 
 func (h *accountHeap) before(i, j int) bool {
 	a, b := h.items[i], h.items[j]
-	if h.kind == bySize {
+	if h.kind == queueLengthHeap {
 		return a.waiting() > b.waiting()
 	}
 	return a.virtual < b.virtual
@@ -119,23 +123,23 @@
 }
 
 func (h *accountHeap) push(a *accountQueue) {
-	a.position[h.kind] = len(h.items)
+	a.heapIndex[h.kind] = len(h.items)
 	h.items = append(h.items, a)
 	h.up(len(h.items) - 1)
 }
 
 func (h *accountHeap) remove(a *accountQueue) {
-	i, last := a.position[h.kind], len(h.items)-1
+	i, last := a.heapIndex[h.kind], len(h.items)-1
 	h.swap(i, last)
 	h.items[last] = nil
 	h.items = h.items[:last]
-	a.position[h.kind] = noPosition
+	a.heapIndex[h.kind] = notInHeap
 	if i < last {
 		h.fix(i)
 	}
 }
 
-// fix restores the order after the account at i has changed.
+// fix restores the heap order after the account at index i has changed.
 func (h *accountHeap) fix(i int) {
 	h.down(i)
 	h.up(i)
@@ -143,8 +147,8 @@
 
 func (h *accountHeap) swap(i, j int) {
 	h.items[i], h.items[j] = h.items[j], h.items[i]
-	h.items[i].position[h.kind] = i
-	h.items[j].position[h.kind] = j
+	h.items[i].heapIndex[h.kind] = i
+	h.items[j].heapIndex[h.kind] = j
 }
 
 func (h *accountHeap) up(i int) {
--- a/internal/schedule/holder.go
+++ b/internal/schedule/holder.go
@@ -1,12 +1,12 @@
 package schedule
 
-// Holder is an incarnation of an entry daemon that waits for or holds places.
+// Holder is an incarnation of an entry daemon with waiting requests or grants.
 type Holder struct {
 	Host        Host
 	Incarnation uint64
 }
 
-// Holders returns all incarnations that wait for or hold places.
+// Holders returns all incarnations with waiting requests or grants.
 func (c *Cell) Holders() []Holder {
 	seen := map[Holder]bool{}
 	var all []Holder
--- a/internal/schedule/interference_test.go
+++ b/internal/schedule/interference_test.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	// longPrompt takes much longer to read than quick streams may pause, shortPrompt much
-	// less.
+	// The prefill of longPrompt takes much longer than the maximum gap of quick
+	// streams, that of shortPrompt much less.
 	longPrompt  = 12_000
 	shortPrompt = 1_200
 )
 
-// begunAfter lets time pass and tells the first token of a request.
+// begunAfter advances the clock by d and reports the first token of a request.
 func (c *decodeCell) begunAfter(id RequestID, d time.Duration) {
 	c.clock.Advance(d)
 	c.Progress(id, Progress{FirstToken: d, Tokens: 1, Elapsed: d})
 	c.Step()
 }
 
-// newProtectedCell is a cell that runs quick streams while long reads come, so
-// that some engines are kept for decoding.
+// newProtectedCell returns a cell that runs quick streams while requests with
+// long prompts arrive, so that some engines are reserved for decoding.
 func newProtectedCell(t *testing.T, engines, streams int) *decodeCell {
 	t.Helper()
 	c := newDecodeCell(engines, quickClass, reportClass)
@@ -40,14 +40,15 @@
 		c.ask("report", longPrompt, 50)
 	}
 	if len(c.decodeNames()) == 0 {
-		t.Fatal("no engine is kept for decoding")
+		t.Fatal("no engine is reserved for decoding")
 	}
 	return c
 }
 
-// The first requests of a class that waits have long prompts, for which every
-// engine is busy. Those behind them have short ones and fit on decode engines,
-// but the class was taken to find no engine at all.
+// Guards against head-of-line blocking in a class. Its first requests have long
+// prompts, for which all engines are busy; those behind them have short prompts
+// and fit on decode engines, but were not tried because the whole class was
+// considered blocked.
 func TestShortReadsPassLongOnes(t *testing.T) {
 	c := newProtectedCell(t, 4, 30)
 	waiting := 0
@@ -56,8 +57,8 @@
 			waiting++
 		}
 	}
-	if waiting < triesPerClass+1 {
-		t.Fatalf("%d long reads wait, too few for this test", waiting)
+	if waiting < maxTriesPerClass+1 {
+		t.Fatalf("%d requests with long prompts wait, too few for this test", waiting)
 	}
 	c.clock.Advance(200 * time.Millisecond)
 	id, e := c.ask("report", shortPrompt, 50)
@@ -65,18 +66,18 @@
 		if e != "" {
 			return
 		}
-		c.clock.Advance(blockedPause + time.Millisecond)
+		c.clock.Advance(blockedRetryInterval + time.Millisecond)
 		for _, d := range c.Step() {
 			if d.ID == id {
 				e = d.Endpoint
 			}
 		}
 	}
-	t.Error("a short read waits behind long ones")
+	t.Error("a request with a short prompt waits behind those with long ones")
 }
 
-// Several short prompts come at once. Read one after the other on one engine,
-// they hold up its streams as a long one does.
+// Several short prompts arrive at once. Prefilled one after the other on the same
+// engine, they would interrupt its streams like a long one.
 func TestShortReadsAreSpread(t *testing.T) {
 	c := newProtectedCell(t, 10, 40)
 	patient := quickClass
@@ -93,14 +94,14 @@
 	}
 	for e, read := range given {
 		if c.decodeNames()[e] && c.pool.Breaks(&c.endpoints[e].Engine, read, 2000) {
-			t.Errorf("%s was given %v to read at once", e, read)
+			t.Errorf("%s was granted prompts with a prefill time of %v at once", e, read)
 		}
 	}
 }
 
-// Fewer quick streams come, and an engine is given back. Long reads must not
-// come there while some of its streams still run.
-func TestEngineIsGivenBackEmpty(t *testing.T) {
+// The number of quick streams falls, and an engine is no longer reserved for
+// decoding. It must not be given long prompts while some of its streams run.
+func TestEngineTakesLongPromptsOnlyAfterItsStreamsEnd(t *testing.T) {
 	c := newProtectedCell(t, 10, 10)
 	var streams []RequestID
 	for i := range 150 {
@@ -122,18 +123,18 @@
 		c.clock.Advance(100 * time.Millisecond)
 		c.Step()
 		c.ask("report", longPrompt, 50)
-		for _, e := range c.list {
+		for _, e := range c.sortedEndpoints {
 			if decoding[e.policy.Name] && !e.Decode && e.Protected() > 0 {
-				t.Fatalf("%s takes long reads beside %d streams", e.policy.Name, e.Protected())
+				t.Fatalf("%s may be given long prompts while it runs %d streams", e.policy.Name, e.Protected())
 			}
 		}
 	}
 	if after := len(c.decodeNames()); after >= before {
-		t.Errorf("%d engines are kept for decoding, %d with five times as many streams", after, before)
+		t.Errorf("%d engines are reserved for decoding, %d with five times as many streams", after, before)
 	}
 }
 
-// A single engine can't be divided: it takes everything.
+// A single engine must take all kinds of requests.
 func TestSingleEngineTakesBoth(t *testing.T) {
 	c := newDecodeCell(1, quickClass, reportClass)
 	for range 5 {
@@ -143,7 +144,7 @@
 		}{{"quick", 700}, {"report", longPrompt}} {
 			id, e := c.ask(one.class, one.prompt, 100)
 			if e == "" {
-				t.Fatalf("%s waits for the only engine, which is idle", one.class)
+				t.Fatalf("a request of class %s waits although the only engine is idle", one.class)
 			}
 			c.begunAfter(id, 300*time.Millisecond)
 			c.Release(id, Report{Done: true, Tokens: 5})
--- a/internal/schedule/limit.go
+++ b/internal/schedule/limit.go
@@ -6,48 +6,48 @@
 	"github.com/beechhead/beechhead/internal/stat"
 )
 
-// limitBurst is the time for which an endpoint saves up what it takes while it
-// gets nothing.
+// limitBurst is how much unused time an idle endpoint with a rate limit
+// accumulates, that is, for how long at its rate it can catch up at once.
 const limitBurst = 500 * time.Millisecond
 
-// limit paces an endpoint that names how many requests it takes.
-type limit struct {
-	// perSecond is what it takes from all hosts; zero is without limit.
+// rateLimit is the rate limit that an endpoint reports.
+type rateLimit struct {
+	// perSecond is the limit over all hosts; zero means no limit.
 	perSecond float64
-	// heard says that it has named a limit; at is when it last did, or named
-	// none any more.
-	heard bool
-	at    time.Duration
-	// next is when it has saved up for another request.
-	next time.Duration
+	// known reports whether the endpoint has ever reported a limit; reportedAt is
+	// when it last reported or removed one.
+	known      bool
+	reportedAt time.Duration
+	// nextAt is when the next request may be granted.
+	nextAt time.Duration
 }
 
-// lifted takes in that the endpoint named no limit in the answer to a request
-// that was granted at some time. The answer to an earlier request than the last
-// one that named a limit may only have come late.
-func (l *limit) lifted(granted time.Duration) {
-	if l.perSecond > 0 && granted > l.at {
-		l.at, l.perSecond = granted, 0
+// remove removes the limit if the endpoint, which no longer reports one, was
+// granted the answered request after the last report. A response to an earlier
+// request may only have been delayed.
+func (l *rateLimit) remove(granted time.Duration) {
+	if l.perSecond > 0 && granted > l.reportedAt {
+		l.reportedAt, l.perSecond = granted, 0
 	}
 }
 
-// paced tells whether the endpoint gets no request for the moment.
-func (l *limit) paced(now time.Duration) bool { return l.perSecond > 0 && now < l.next }
+// throttled reports whether the limit currently forbids another request.
+func (l *rateLimit) throttled(now time.Duration) bool { return l.perSecond > 0 && now < l.nextAt }
 
-// gap returns the time between two requests to an endpoint with a limit.
-func (c *Cell) gap(l *limit) time.Duration {
+// requestInterval returns the minimum time between two requests under a limit.
+func (c *Cell) requestInterval(l *rateLimit) time.Duration {
 	return stat.Seconds(float64(max(1, c.share)) / l.perSecond)
 }
 
-// book books a request on an endpoint's limit.
-func (c *Cell) book(l *limit, now time.Duration) {
+// consume counts a granted request against a limit.
+func (c *Cell) consume(l *rateLimit, now time.Duration) {
 	if l.perSecond > 0 {
-		l.next = max(l.next, now-limitBurst) + c.gap(l)
+		l.nextAt = max(l.nextAt, now-limitBurst) + c.requestInterval(l)
 	}
 }
 
-// Limit takes in how many requests a second an endpoint takes from all hosts
-// together, by an answer that came some time ago.
+// Limit records the rate limit that an endpoint reported in a response, received
+// the given time ago. The limit applies to all hosts together.
 func (c *Cell) Limit(name Endpoint, perSecond float64, age time.Duration) {
 	e := c.endpoints[name]
 	if e == nil || perSecond <= 0 {
@@ -55,20 +55,20 @@
 	}
 	l, now := &e.limit, c.now()
 	at := now - age
-	if l.heard && at < l.at {
+	if l.known && at < l.reportedAt {
 		return
 	}
 	fresh := l.perSecond == 0
-	l.heard, l.at, l.perSecond = true, at, perSecond
+	l.known, l.reportedAt, l.perSecond = true, at, perSecond
 	if fresh {
-		l.next = now + c.gap(l)
+		l.nextAt = now + c.requestInterval(l)
 	}
 }
 
-// lift takes in the end of a grant whose answer named no limit. When a grant
-// began that another coordinator gave is not known.
-func (c *Cell) lift(g *entry) {
-	if !g.held {
-		g.endpoint.limit.lifted(g.Granted)
+// removeLimit handles the end of a grant whose response reported no limit. It
+// ignores grants that another coordinator issued, since their start is unknown.
+func (c *Cell) removeLimit(g *entry) {
+	if !g.adopted {
+		g.endpoint.limit.remove(g.Granted)
 	}
 }
--- a/internal/schedule/mechanism.go
+++ b/internal/schedule/mechanism.go
@@ -6,11 +6,11 @@
 	"github.com/beechhead/beechhead/internal/batching"
 )
 
-// Mechanism is a part of the decisions that can be switched off, to measure
-// what it is worth.
+// Mechanism is a part of the scheduling logic that can be switched off to
+// measure its effect.
 type Mechanism = batching.Mechanism
 
-// The mechanisms of the choice among engines.
+// The mechanisms of engine selection.
 const (
 	DecodeEngines  = batching.DecodeEngines
 	Spacing        = batching.Spacing
@@ -24,18 +24,20 @@
 	DecodeSlowdown = batching.DecodeSlowdown
 )
 
-// The mechanisms of the queue and of endpoints' health.
+// The mechanisms of the queue and of endpoint health.
 const (
-	// SlowEjection gives stragglers no requests for a while, FailedEjection
-	// endpoints that fail.
+	// SlowEjection temporarily ejects stragglers, FailedEjection endpoints that
+	// fail requests.
 	SlowEjection   Mechanism = "slowEjection"
 	FailedEjection Mechanism = "failedEjection"
-	// Ageing gives places to requests that have waited past their bound.
+	// Ageing grants slots to requests that have waited longer than the MaxWait of
+	// their class.
 	Ageing Mechanism = "ageing"
-	// Shedding refuses requests of the lowest tier whose turn will not come in
-	// time.
+	// Shedding refuses requests of the lowest tier that would not be granted a
+	// slot within the MaxWait of their class.
 	Shedding Mechanism = "shedding"
-	// TooLate refuses requests whose callers leave before an answer begins.
+	// TooLate refuses requests whose callers will give up before the response can
+	// begin.
 	TooLate Mechanism = "tooLate"
 )
 
@@ -47,5 +49,7 @@
 	}
 }
 
-// off tells whether a mechanism is switched off.
-func (c *Cell) off(m Mechanism) bool { return len(c.disabled) > 0 && slices.Contains(c.disabled, m) }
+// isDisabled reports whether a mechanism is switched off.
+func (c *Cell) isDisabled(m Mechanism) bool {
+	return len(c.disabled) > 0 && slices.Contains(c.disabled, m)
+}
--- a/internal/schedule/order.go
+++ b/internal/schedule/order.go
@@ -8,41 +8,42 @@
 )
 
 const (
-	// agedEvery bounds ageing: one of that many grants may be an aged one.
-	agedEvery = 16
-	// agedShare bounds the aged grants that run: one of that many places.
-	// Without it, a class with long answers would fill the places with aged
-	// grants, which can't be preempted.
-	agedShare = 8
+	// agedGrantInterval limits ageing to one in this many grants.
+	agedGrantInterval = 16
+	// agedSlotDivisor limits the running grants given by ageing to one in this
+	// many slots. Without it, a class with long responses would fill the slots
+	// with aged grants, which can't be preempted.
+	agedSlotDivisor = 8
 )
 
-// triesPerClass is how many requests of a class are tried on engines that
-// batch before the class waits: one that is too long for any of them must not
-// hold up those behind it, but each try looks at every engine.
-const triesPerClass = 3
+// maxTriesPerClass is how many requests of a class are tried on batching engines
+// before the class is blocked. A request that is too long for all engines must
+// not hold up those behind it, but each try examines every engine.
+const maxTriesPerClass = 3
 
-// skipsPerClass bounds how many long reads are passed over to find short ones
+// maxSkipsPerClass limits how many long prefills are skipped to find short ones
 // behind them.
-const skipsPerClass = 64
+const maxSkipsPerClass = 64
 
-// blockedPause is how long a class waits that found no engine, though others'
-// requests come and go all the time. Engines read for about that long until
-// anything changes for it. In an overload it bounds the cost of the waiting
-// requests, which would otherwise be tried thousands of times a second.
-const blockedPause = 5 * time.Millisecond
+// blockedRetryInterval is how long a class that found no engine is blocked, even
+// if requests of other classes arrive and end meanwhile. It takes engines about
+// this long to prefill enough to change the result. Under overload it bounds the
+// cost of waiting requests, which would otherwise be tried thousands of times
+// per second.
+const blockedRetryInterval = 5 * time.Millisecond
 
-// grantAll gives free places to those whose turn it is.
+// grantAll grants free slots to waiting entries in scheduling order.
 func (c *Cell) grantAll(now time.Duration) {
 	for c.waiting > 0 {
 		e, aged := c.next(now)
 		if e == nil {
 			break
 		}
-		if e.LongRead && e.class.longBlocked {
+		if e.LongRead && e.class.longPrefillBlocked {
 			c.skip(e, now)
 			continue
 		}
-		to, source := c.choose(e, now)
+		to, source := c.chooseEndpoint(e, now)
 		if to != nil {
 			c.grant(e, to, source, aged, now)
 			continue
@@ -50,48 +51,49 @@
 		if len(e.request.Excluded) == 0 && !c.pool.Batches() {
 			break
 		}
-		c.passOver(e, now)
+		c.deferBlocked(e, now)
 	}
-	for _, e := range c.setAside {
+	for _, e := range c.deferred {
 		e.class.push(e)
 		c.waiting++
-		e.class.tried, e.class.skipped, e.class.longBlocked = 0, 0, false
+		e.class.tried, e.class.skipped, e.class.longPrefillBlocked = 0, 0, false
 	}
-	c.setAside = c.setAside[:0]
+	c.deferred = c.deferred[:0]
 }
 
-// passOver sets an entry aside that no endpoint can take now: those behind it
-// must not wait for it. Engines that batch are free for some requests and not
-// for others; after a few tries the whole class is blocked for a moment.
-func (c *Cell) passOver(e *entry, now time.Duration) {
+// deferBlocked defers an entry that no endpoint can take now, so that it does
+// not hold up those behind it. Batching engines may take some requests and not
+// others; after a few tries the whole class is blocked for a short time.
+func (c *Cell) deferBlocked(e *entry, now time.Duration) {
 	q := e.class
-	c.putAside(e)
+	c.deferEntry(e)
 	if c.pool.Batches() && e.LongRead {
-		q.longBlocked = true
+		q.longPrefillBlocked = true
 		return
 	}
-	if q.tried++; c.pool.Batches() && q.tried >= triesPerClass {
-		q.blockedUntil = now + blockedPause
+	if q.tried++; c.pool.Batches() && q.tried >= maxTriesPerClass {
+		q.blockedUntil = now + blockedRetryInterval
 	}
 }
 
-// skip sets an entry aside untried: a long read before it has found no engine,
-// and the short ones behind it may find one of those that are kept for them.
+// skip defers an entry with a long prefill without trying it, because an earlier
+// long prefill of the class has found no engine. Entries with short prefills
+// behind it may still fit on decode engines.
 func (c *Cell) skip(e *entry, now time.Duration) {
 	q := e.class
-	c.putAside(e)
-	if q.skipped++; q.skipped >= skipsPerClass {
-		q.blockedUntil = now + blockedPause
+	c.deferEntry(e)
+	if q.skipped++; q.skipped >= maxSkipsPerClass {
+		q.blockedUntil = now + blockedRetryInterval
 	}
 }
 
-func (c *Cell) putAside(e *entry) {
+func (c *Cell) deferEntry(e *entry) {
 	e.class.remove(e)
 	c.waiting--
-	c.setAside = append(c.setAside, e)
+	c.deferred = append(c.deferred, e)
 }
 
-// next returns the entry that takes the next free place.
+// next returns the entry to grant the next free slot to.
 func (c *Cell) next(now time.Duration) (e *entry, aged bool) {
 	if e := c.overdue(now); e != nil && now >= e.class.blockedUntil {
 		return e, true
@@ -100,15 +102,15 @@
 		if t.waiting == 0 {
 			continue
 		}
-		if e := t.next(now, c.lead); e != nil {
+		if e := t.next(now, c.leadTime); e != nil {
 			return e, false
 		}
 	}
 	return nil, false
 }
 
-// next returns the entry of the class that has had the least for its weight,
-// or nil if all are blocked.
+// next returns the next entry of the class with the lowest virtual time, or nil
+// if all classes are blocked.
 func (t *tierQueue) next(now time.Duration, lead func(*entry) time.Duration) *entry {
 	var best *classQueue
 	for _, q := range t.classes {
@@ -122,25 +124,26 @@
 	return best.next(now, lead)
 }
 
-// overdue returns the entry that ageing gives the next place to, or nil: the
-// oldest of the class that has starved the longest past its bound, or else of
-// the class whose oldest entry has exceeded it by the most.
+// overdue returns the entry that ageing grants the next slot to, or nil. It is
+// the oldest entry of the class that has gone without a grant the longest past
+// its MaxWait or, if there is none, of the class whose oldest entry exceeds
+// MaxWait by the most.
 func (c *Cell) overdue(now time.Duration) *entry {
-	if c.off(Ageing) || c.sinceAged < agedEvery-1 || c.agedRunning >= max(1, c.places/agedShare) {
+	if c.isDisabled(Ageing) || c.grantsSinceAged < agedGrantInterval-1 || c.agedRunning >= max(1, c.totalSlots/agedSlotDivisor) {
 		return nil
 	}
-	if e := c.most((*classQueue).starving, now); e != nil {
+	if e := c.mostOverdue((*classQueue).starving, now); e != nil {
 		return e
 	}
-	return c.most((*classQueue).overdue, now)
+	return c.mostOverdue((*classQueue).overdue, now)
 }
 
-// most returns the oldest entry of the class that a measure finds past its
-// bound by the most.
-func (c *Cell) most(past func(*classQueue, time.Duration) (time.Duration, bool), now time.Duration) *entry {
+// mostOverdue returns the oldest entry of the class that exceeds its bound by
+// the most, according to the given function.
+func (c *Cell) mostOverdue(past func(*classQueue, time.Duration) (time.Duration, bool), now time.Duration) *entry {
 	var worst *classQueue
 	var most time.Duration
-	for _, q := range c.order {
+	for _, q := range c.classOrder {
 		by, ok := past(q, now)
 		if ok && (worst == nil || by > most) {
 			worst, most = q, by
@@ -155,21 +158,21 @@
 func (c *Cell) grant(e *entry, to *endpointState, source *batching.Engine, aged bool, now time.Duration) {
 	q := e.class
 	if aged {
-		c.sinceAged = 0
+		c.grantsSinceAged = 0
 		c.agedRunning++
-		q.figures.aged++
+		q.counters.aged++
 	} else {
-		c.sinceAged++
-		q.served = max(q.served, e.account.virtual)
+		c.grantsSinceAged++
+		q.lastServedVirtual = max(q.lastServedVirtual, e.account.virtual)
 		q.tier.virtual = max(q.tier.virtual, q.virtual)
 	}
 	q.remove(e)
 	c.waiting--
 	q.charge(e.account, e.work)
-	q.tier.grants.add(now)
-	q.wants = false
-	q.figures.granted++
-	q.figures.longestWait = max(q.figures.longestWait, now-e.Since)
+	q.tier.grantRate.add(now)
+	q.unserved = false
+	q.counters.granted++
+	q.counters.longestWait = max(q.counters.longestWait, now-e.Since)
 	e.aged = aged
 	d := Decision{
 		ID: e.request.ID, Endpoint: to.policy.Name,
@@ -179,18 +182,18 @@
 		e.Fetched = source.Kept(e.request.Parts)
 		d.FetchFrom = Endpoint(source.Name)
 	}
-	c.run(e, to, now)
-	c.book(&to.limit, now)
+	c.startGrant(e, to, now)
+	c.consume(&to.limit, now)
 	c.prefixes.put(e.request.Prefix, to, now)
 	c.decide(d)
 }
 
-// run books an entry on an endpoint.
-func (c *Cell) run(e *entry, to *endpointState, now time.Duration) {
+// startGrant accounts for an entry as running on an endpoint.
+func (c *Cell) startGrant(e *entry, to *endpointState, now time.Duration) {
 	c.grants++
-	to.turn = c.grants
+	to.lastGrant = c.grants
 	to.Running++
-	to.load.peak = max(to.load.peak, to.Running)
+	to.load.peakRunning = max(to.load.peakRunning, to.Running)
 	to.outstanding += e.work
 	c.pool.Book(&to.Engine, &e.Work, now)
 	c.running++
@@ -202,8 +205,8 @@
 	}
 }
 
-// stop ends the booking of a running entry.
-func (c *Cell) stop(e *entry) {
+// endGrant removes a running entry from its endpoint.
+func (c *Cell) endGrant(e *entry) {
 	e.endpoint.Running--
 	e.endpoint.outstanding = max(0, e.endpoint.outstanding-e.work)
 	e.endpoint.Unbook(&e.Work)
@@ -219,13 +222,14 @@
 	}
 }
 
-// isPreemptible tells whether a running entry stands in its tier's list.
+// isPreemptible reports whether a running entry is in its tier's list of
+// preemptible grants.
 func (e *entry) isPreemptible() bool {
 	l := &e.class.tier.preemptible
 	return e.prev != nil || e.next != nil || l.first == e
 }
 
-// tier returns the queue of a tier and creates it if there is none.
+// tier returns the queue of a tier, creating it if necessary.
 func (c *Cell) tier(t Tier) *tierQueue {
 	i, ok := slices.BinarySearchFunc(c.tiers, t, func(q *tierQueue, t Tier) int { return int(q.tier - t) })
 	if !ok {
--- a/internal/schedule/overload_test.go
+++ b/internal/schedule/overload_test.go
@@ -8,44 +8,44 @@
 	"time"
 )
 
-// overload runs one cell on a fake clock: requests arrive at random and answers
-// take random times, whatever the policy.
+// overload simulates one cell on a fake clock, with random arrivals and random
+// response times.
 type overload struct {
 	classes []ClassPolicy
-	// share is each class's part of the offered load.
+	// share is the share of each class in the offered load.
 	share []float64
-	// factor is the offered load in multiples of what the places can serve.
+	// factor is the offered load as a multiple of the capacity.
 	factor float64
 }
 
-// overloadResult counts what became of the requests of each class.
+// overloadResult counts the requests of each class by outcome.
 type overloadResult struct {
 	offered, inTime, late, refused map[Class]int
 	longest                        map[Class]time.Duration
 }
 
 const (
-	overloadPlaces = 16
-	overloadMean   = 100 * time.Millisecond
-	overloadRun    = 40 * time.Second
-	overloadTick   = 5 * time.Millisecond
+	overloadSlots       = 16
+	overloadServiceTime = 100 * time.Millisecond
+	overloadRun         = 40 * time.Second
+	overloadTick        = 5 * time.Millisecond
 )
 
 func (o *overload) run(seed uint64) overloadResult {
 	random := rand.New(rand.NewPCG(seed, seed))
 	clock := newFakeClock()
 	cell := NewCell(clock)
-	cell.Configure(Config{Classes: o.classes, Endpoints: endpoints(4, overloadPlaces/4), MaxWaiting: 16 * overloadPlaces})
+	cell.Configure(Config{Classes: o.classes, Endpoints: endpoints(4, overloadSlots/4), MaxWaiting: 16 * overloadSlots})
 	r := overloadResult{map[Class]int{}, map[Class]int{}, map[Class]int{}, map[Class]int{}, map[Class]time.Duration{}}
 	arrived := map[RequestID]time.Duration{}
 	classOf := map[RequestID]int{}
 	ends := map[time.Duration][]RequestID{}
-	capacity := overloadPlaces * float64(time.Second) / float64(overloadMean)
+	capacity := overloadSlots * float64(time.Second) / float64(overloadServiceTime)
 	n := 0
 	for now := time.Duration(0); now < overloadRun; now += overloadTick {
 		clock.advance(overloadTick)
 		for _, done := range ends[now] {
-			cell.Release(done, Report{Tokens: 20, FirstToken: time.Millisecond, Duration: overloadMean, Done: true})
+			cell.Release(done, Report{Tokens: 20, FirstToken: time.Millisecond, Duration: overloadServiceTime, Done: true})
 		}
 		delete(ends, now)
 		for i, c := range o.classes {
@@ -72,7 +72,7 @@
 				} else {
 					r.late[c.Name]++
 				}
-				length := time.Duration(float64(overloadMean) * random.ExpFloat64())
+				length := time.Duration(float64(overloadServiceTime) * random.ExpFloat64())
 				end := now + max(overloadTick, length.Truncate(overloadTick))
 				ends[end] = append(ends[end], d.ID)
 			}
@@ -104,8 +104,9 @@
 	{Name: "notes", Tier: 3, Weight: 1, MaxWait: 10 * time.Second, Target: 4 * time.Second},
 }
 
-// Three times as much is offered as can be served, over all classes. What is
-// served in time must not fall: an old queue would make every answer late.
+// The offered load is three times the capacity, over all classes. The number of
+// requests served in time must not fall; it would if requests were served in
+// order of arrival from a queue in which all of them are already late.
 func TestGoodputHoldsUnderOverload(t *testing.T) {
 	mixed := overload{classes: overloadClasses, share: []float64{0.2, 0.3, 0.5}, factor: 1}
 	once := mixed.run(1)
@@ -114,17 +115,16 @@
 	t.Logf("once %+v", once)
 	t.Logf("thrice %+v", thrice)
 	if got, want := thrice.goodput(), 0.95*float64(once.goodput()); float64(got) < want {
-		t.Errorf("goodput is %d at three times the load, %d at once", got, once.goodput())
+		t.Errorf("goodput is %d at three times the capacity, %d at capacity", got, once.goodput())
 	}
 	if got, want := float64(thrice.inTime["counter"]), 0.99*float64(thrice.offered["counter"]); got < want {
-		t.Errorf("the highest tier has %.0f of %d in time", got, thrice.offered["counter"])
+		t.Errorf("%.0f of %d requests of the highest tier were in time, want %.0f", got, thrice.offered["counter"], want)
 	}
 }
 
-// All counters open at once: the highest tier alone asks for three times what
-// can be served, and fills the queue by itself. What is served in time must not
-// fall, and each lower class still gets a place within its bound and one turn of
-// ageing more.
+// The highest tier alone offers three times the capacity and fills the queue by
+// itself. The number of requests served in time must not fall, and each lower
+// class must still get a slot within its MaxWait plus one turn of ageing.
 func TestGoodputHoldsWhenTheHighestTierOverloads(t *testing.T) {
 	burst := overload{classes: overloadClasses, share: []float64{1, 0.02, 0.02}, factor: 1}
 	once := burst.run(2)
@@ -133,12 +133,12 @@
 	t.Logf("once %+v", once)
 	t.Logf("thrice %+v", thrice)
 	if got, want := float64(thrice.goodput()), 0.95*float64(once.goodput()); got < want {
-		t.Errorf("goodput is %.0f at three times the load, %d at once", got, once.goodput())
+		t.Errorf("goodput is %.0f at three times the capacity, %d at capacity", got, once.goodput())
 	}
 	for _, c := range overloadClasses[1:] {
 		want := int(overloadRun / (c.MaxWait + 3*time.Second))
 		if got := thrice.inTime[c.Name] + thrice.late[c.Name]; got < want {
-			t.Errorf("%s was served %d times, want %d", c.Name, got, want)
+			t.Errorf("class %s was served %d times, want %d", c.Name, got, want)
 		}
 	}
 }
--- a/internal/schedule/preempt.go
+++ b/internal/schedule/preempt.go
@@ -3,19 +3,20 @@
 import "time"
 
 const (
-	// nearlyDone is the estimated rest of an answer that is not worth
-	// preempting.
-	nearlyDone = 300 * time.Millisecond
-	// patience is the share of its target that a request waits for a place
-	// to come free by itself before one is asked back.
-	patience = 8
+	// minRemaining is the estimated remaining time of a grant below which it is
+	// not worth preempting.
+	minRemaining = 300 * time.Millisecond
+	// preemptDelayDivisor determines how long a request waits for a slot to
+	// become free before another grant is preempted: its target divided by this.
+	preemptDelayDivisor = 8
 )
 
-// preemptAll asks places back when higher tiers wait and none is free: at
-// most one for each request that waits, from the lowest tier that runs
-// preemptibly. A place asked back counts until it comes.
+// preemptAll preempts grants when higher tiers wait and no slot is free: at most
+// one for each waiting request, beginning with the lowest tier that has
+// preemptible grants. A grant that is being preempted counts until it is
+// released.
 func (c *Cell) preemptAll(now time.Duration) {
-	if c.discipline != ByTier || c.waiting == 0 || c.anyFree(now) {
+	if c.discipline != ByTier || c.waiting == 0 || c.anyFreeSlot(now) {
 		return
 	}
 	wanted := 0
@@ -24,11 +25,11 @@
 			continue
 		}
 		wanted += t.waiting
-		if !t.impatient(now) {
+		if !t.preemptionDue(now) {
 			continue
 		}
 		for c.preempting < wanted {
-			victim := c.victim(t.tier, now)
+			victim := c.preemptionVictim(t.tier, now)
 			if victim == nil {
 				break
 			}
@@ -37,32 +38,35 @@
 	}
 }
 
-// anyFree tells whether a place is free, which those who wait can't use.
-func (c *Cell) anyFree(now time.Duration) bool {
-	for _, e := range c.list {
-		if e.free(now) {
+// anyFreeSlot reports whether any endpoint has a free slot. Since slots are
+// granted before preemption, the requests that still wait can't use it.
+func (c *Cell) anyFreeSlot(now time.Duration) bool {
+	for _, e := range c.sortedEndpoints {
+		if e.hasFreeSlot(now) {
 			return true
 		}
 	}
 	return false
 }
 
-// impatient tells whether a class of the tier has waited long enough.
-func (t *tierQueue) impatient(now time.Duration) bool {
+// preemptionDue reports whether a request of the tier has waited long enough to
+// preempt others.
+func (t *tierQueue) preemptionDue(now time.Duration) bool {
 	for _, q := range t.classes {
-		if e := q.oldest.first(); e != nil && now-e.Since >= q.policy.Target/patience {
+		if e := q.oldest.first(); e != nil && now-e.Since >= q.policy.Target/preemptDelayDivisor {
 			return true
 		}
 	}
 	return false
 }
 
-// victim returns the newest preemptible grant of the lowest tier below t that
-// is not nearly done. The newest has the least that must be taken in again.
-func (c *Cell) victim(t Tier, now time.Duration) *entry {
+// preemptionVictim returns the newest preemptible grant of the lowest tier below
+// t that is not about to end. The newest has generated the least, so that
+// resuming it elsewhere costs the least.
+func (c *Cell) preemptionVictim(t Tier, now time.Duration) *entry {
 	for i := len(c.tiers) - 1; i >= 0 && c.tiers[i].tier > t; i-- {
 		for e := c.tiers[i].preemptible.last; e != nil; e = e.prev {
-			if e.endpoint.health.reason == "" && !e.endpoint.policy.Draining && !e.endpoint.limit.paced(now) && !c.nearlyDone(e, now) {
+			if e.endpoint.health.reason == "" && !e.endpoint.policy.Draining && !e.endpoint.limit.throttled(now) && !c.endsSoon(e, now) {
 				return e
 			}
 		}
@@ -70,22 +74,22 @@
 	return nil
 }
 
-// nearlyDone tells whether a grant is expected to end by itself soon. One
-// that runs longer than estimated is not: nobody knows how long it will be.
-func (c *Cell) nearlyDone(e *entry, now time.Duration) bool {
-	perToken := e.endpoint.health.token.Value
+// endsSoon reports whether a grant is expected to end soon. This is false for one
+// that has run longer than estimated, since its remaining time is unknown.
+func (c *Cell) endsSoon(e *entry, now time.Duration) bool {
+	perToken := e.endpoint.health.tokenTime.Value
 	if perToken == 0 {
 		return false
 	}
-	whole := time.Duration(e.work * perToken * float64(time.Second))
-	rest := whole - (now - e.Granted)
-	return rest >= 0 && rest < nearlyDone
+	total := time.Duration(e.work * perToken * float64(time.Second))
+	remaining := total - (now - e.Granted)
+	return remaining >= 0 && remaining < minRemaining
 }
 
 func (c *Cell) preempt(e *entry) {
 	e.class.tier.preemptible.remove(e)
 	e.preempting = true
 	c.preempting++
-	e.class.figures.preempted++
+	e.class.counters.preempted++
 	c.decide(Decision{ID: e.request.ID, Preempt: true})
 }
--- a/internal/schedule/property_test.go
+++ b/internal/schedule/property_test.go
@@ -10,20 +10,20 @@
 	"pgregory.net/rapid"
 )
 
-// model follows a cell from outside: it knows only what the callers know.
+// model is a reference model of a cell from the callers' point of view.
 type model struct {
 	t     *rapid.T
 	clock *fakeClock
 	cell  *Cell
 	tiers map[Class]Tier
-	// class, waiting and running have the requests that are still open.
-	class   map[RequestID]Class
+	class map[RequestID]Class
+	// waiting and running have the requests that have not ended.
 	waiting map[RequestID]bool
 	running map[RequestID]bool
-	// aged grants may not be preempted; asked were asked back already.
-	asked map[RequestID]bool
-	ended map[RequestID]bool
-	n     int
+	// preempted has the running requests that are already being preempted.
+	preempted map[RequestID]bool
+	ended     map[RequestID]bool
+	n         int
 }
 
 var modelClasses = []ClassPolicy{
@@ -36,7 +36,7 @@
 func newModel(t *rapid.T) *model {
 	m := &model{
 		t: t, clock: newFakeClock(), tiers: map[Class]Tier{}, class: map[RequestID]Class{},
-		waiting: map[RequestID]bool{}, running: map[RequestID]bool{}, asked: map[RequestID]bool{}, ended: map[RequestID]bool{},
+		waiting: map[RequestID]bool{}, running: map[RequestID]bool{}, preempted: map[RequestID]bool{}, ended: map[RequestID]bool{},
 	}
 	m.cell = NewCell(m.clock)
 	m.cell.Configure(Config{
@@ -61,8 +61,9 @@
 	m.step()
 }
 
-// one draws one of a set in a fixed order.
-func (m *model) one(set map[RequestID]bool) (RequestID, bool) {
+// pick draws a request from a set, in an order that does not depend on map
+// iteration.
+func (m *model) pick(set map[RequestID]bool) (RequestID, bool) {
 	var all []RequestID
 	for i := 1; i <= m.n; i++ {
 		if set[id(i)] {
@@ -76,7 +77,7 @@
 }
 
 func (m *model) release() {
-	r, ok := m.one(m.running)
+	r, ok := m.pick(m.running)
 	if !ok {
 		return
 	}
@@ -86,7 +87,7 @@
 }
 
 func (m *model) cancel() {
-	r, ok := m.one(m.waiting)
+	r, ok := m.pick(m.waiting)
 	if !ok {
 		return
 	}
@@ -98,7 +99,7 @@
 func (m *model) end(r RequestID) {
 	delete(m.waiting, r)
 	delete(m.running, r)
-	delete(m.asked, r)
+	delete(m.preempted, r)
 	m.ended[r] = true
 }
 
@@ -107,9 +108,9 @@
 	m.step()
 }
 
-// lowerOpen tells whether a lower tier waits, or runs preemptibly without
-// having been asked back.
-func (m *model) lowerOpen(r RequestID) bool {
+// hasLowerTier reports whether a request of a lower tier waits, or runs, is
+// preemptible and is not being preempted yet.
+func (m *model) hasLowerTier(r RequestID) bool {
 	tier := m.tiers[m.class[r]]
 	for other := range m.waiting {
 		if other != r && m.tiers[m.class[other]] > tier {
@@ -118,58 +119,59 @@
 	}
 	for other := range m.running {
 		e := m.cell.entries[other]
-		if m.tiers[m.class[other]] > tier && !m.asked[other] && e.class.policy.Preemptible && !e.aged {
+		if m.tiers[m.class[other]] > tier && !m.preempted[other] && e.class.policy.Preemptible && !e.aged {
 			return true
 		}
 	}
 	return false
 }
 
-// step takes the decisions and checks them against what the callers know.
+// step runs one step of the cell and checks the decisions against the model.
 func (m *model) step() {
 	for _, d := range m.cell.Step() {
 		switch {
 		case d.Preempt:
-			if !m.running[d.ID] || m.asked[d.ID] {
-				m.t.Fatalf("%v is preempted but does not run, or twice", d.ID)
+			if !m.running[d.ID] || m.preempted[d.ID] {
+				m.t.Fatalf("%v is preempted twice or while it is not running", d.ID)
 			}
 			m.checkPreempt(d.ID)
-			m.asked[d.ID] = true
+			m.preempted[d.ID] = true
 		case d.Refusal != "":
 			if !m.waiting[d.ID] {
-				m.t.Fatalf("%v is refused but does not wait", d.ID)
+				m.t.Fatalf("%v is refused but not waiting", d.ID)
 			}
-			if d.Refusal == RefusedShed && m.lowerOpen(d.ID) {
-				m.t.Fatalf("%v of %s is shed while a lower tier waits or runs preemptibly", d.ID, m.class[d.ID])
+			if d.Refusal == RefusedShed && m.hasLowerTier(d.ID) {
+				m.t.Fatalf("%v of %s is shed while a lower tier waits or has preemptible grants", d.ID, m.class[d.ID])
 			}
 			m.end(d.ID)
 		default:
 			if !m.waiting[d.ID] {
-				m.t.Fatalf("%v is granted but does not wait", d.ID)
+				m.t.Fatalf("%v is granted but not waiting", d.ID)
 			}
 			delete(m.waiting, d.ID)
 			m.running[d.ID] = true
 		}
 	}
 	if m.cell.waiting != len(m.waiting) || m.cell.running != len(m.running) || len(m.cell.entries) != len(m.waiting)+len(m.running) {
-		m.t.Fatalf("the cell has %d waiting and %d running of %d; the callers %d and %d", m.cell.waiting, m.cell.running, len(m.cell.entries), len(m.waiting), len(m.running))
+		m.t.Fatalf("the cell has %d waiting and %d running of %d entries, the model %d and %d", m.cell.waiting, m.cell.running, len(m.cell.entries), len(m.waiting), len(m.running))
 	}
-	for _, e := range m.cell.list {
+	for _, e := range m.cell.sortedEndpoints {
 		if e.Running < 0 || e.Running > e.policy.Concurrency {
-			m.t.Fatalf("%s runs %d", e.policy.Name, e.Running)
+			m.t.Fatalf("%s runs %d grants, concurrency %d", e.policy.Name, e.Running, e.policy.Concurrency)
 		}
 	}
 }
 
-// checkPreempt finds a preemption without a higher tier that waits, or while a
-// lower one runs preemptibly that is not nearly done.
+// checkPreempt fails the test if a request is preempted although no higher tier
+// waits, or although a still lower tier has a preemptible grant that does not end
+// soon.
 func (m *model) checkPreempt(r RequestID) {
 	tier := m.tiers[m.class[r]]
 	for other := range m.running {
 		e := m.cell.entries[other]
-		open := !m.asked[other] && e.class.policy.Preemptible && !e.aged
-		if open && m.tiers[m.class[other]] > tier && !e.preempting && e.endpoint.health.reason == "" && !m.cell.nearlyDone(e, m.cell.now()) {
-			m.t.Fatalf("%v of %s is preempted while %v of %s runs preemptibly", r, m.class[r], other, m.class[other])
+		open := !m.preempted[other] && e.class.policy.Preemptible && !e.aged
+		if open && m.tiers[m.class[other]] > tier && !e.preempting && e.endpoint.health.reason == "" && !m.cell.endsSoon(e, m.cell.now()) {
+			m.t.Fatalf("%v of %s is preempted although %v of %s, a lower tier, is preemptible", r, m.class[r], other, m.class[other])
 		}
 	}
 	for other := range m.waiting {
@@ -177,7 +179,7 @@
 			return
 		}
 	}
-	m.t.Fatalf("%v of %s is preempted but no higher tier waits", r, m.class[r])
+	m.t.Fatalf("%v of %s is preempted although no higher tier waits", r, m.class[r])
 }
 
 func TestEachRequestEndsOnceAndByTier(t *testing.T) {
@@ -193,9 +195,10 @@
 	})
 }
 
-// A higher tier asks for more than everything, for minutes. Each class with a
-// waiting request must still get a place within its bound: its longest wait,
-// and for each class that is overdue with it one turn of ageing.
+// Guards against starvation while a higher tier continuously requests more than
+// the capacity. Each class with a waiting request must get a slot within its
+// bound: its MaxWait plus one turn of ageing for each class that may be overdue
+// at the same time.
 func TestEveryClassIsServedWithinItsBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := newFakeClock()
@@ -203,9 +206,9 @@
 		places := rapid.IntRange(1, 20).Draw(t, "places")
 		cell.Configure(Config{Classes: modelClasses, Endpoints: endpoints(1, places)})
 		hold := time.Duration(rapid.IntRange(10, 400).Draw(t, "holdMs")) * time.Millisecond
-		// One turn of ageing is agedEvery grants, and an aged grant may
+		// One turn of ageing is agedGrantInterval grants, and an aged grant may
 		// have to wait for another one to end.
-		turn := hold * (agedEvery/time.Duration(places) + 3)
+		turn := hold * (agedGrantInterval/time.Duration(places) + 3)
 		n := 0
 		reserve := func(class Class) {
 			n++
@@ -235,7 +238,7 @@
 				case d.Preempt:
 					cell.Release(d.ID, Report{})
 				case d.Refusal != "":
-					t.Fatalf("%v is refused", d.ID)
+					t.Fatalf("%v is refused: %s", d.ID, d.Refusal)
 				default:
 					last[e.class.policy.Name] = now
 					running = append(running, end{d.ID, now + hold})
@@ -247,15 +250,16 @@
 				}
 				bound := c.MaxWait + turn*time.Duration(len(modelClasses)) + 100*time.Millisecond
 				if now-last[c.Name] > bound {
-					t.Fatalf("%s got nothing for %s, bound %s", c.Name, now-last[c.Name], bound)
+					t.Fatalf("class %s got no slot for %s, bound %s", c.Name, now-last[c.Name], bound)
 				}
 			}
 		}
 	})
 }
 
-// Three classes of one tier always have requests waiting. The work granted
-// follows their weights, whatever the lengths of their answers.
+// Three classes of one tier always have waiting requests. The granted work must
+// be proportional to their weights, independent of the lengths of their
+// responses.
 func TestWeightsHoldWithinFivePercent(t *testing.T) {
 	const grants = 10_000
 	random := rand.New(rand.NewPCG(1, 2))
@@ -279,10 +283,10 @@
 				}
 			}
 			d := cell.Step()[0]
-			// The answer is another length than was estimated.
+			// The length of the response differs from the estimate.
 			tokens := 1 + random.IntN(2*lengths[classOf[d.ID]])
-			work[classOf[d.ID]] += workOf(0, tokens)
-			total += workOf(0, tokens)
+			work[classOf[d.ID]] += estimateWork(0, tokens)
+			total += estimateWork(0, tokens)
 			cell.Release(d.ID, Report{Tokens: tokens, Done: true})
 		}
 		for i, w := range weights {
--- a/internal/schedule/queue.go
+++ b/internal/schedule/queue.go
@@ -6,86 +6,90 @@
 	"github.com/beechhead/beechhead/internal/batching"
 )
 
-// entry is one request while it waits or runs. Entries are reused.
+// entry is a waiting or running request. Entries are reused.
 type entry struct {
-	// Work is what the choice among engines knows of the request. Since and
-	// Granted are on the cell's time; a late entry stands in the late heap of
-	// its class.
+	// Work is the state of the request in the engine pool. Since and Granted are
+	// relative to the start of the cell; a late entry is in the late heap of its
+	// class.
 	batching.Work
 	request Request
 	class   *classQueue
 	account *accountQueue
-	// order is the number of the arrival, which breaks ties.
-	order uint64
-	// work is the estimated work in tokens, as charged to class and account.
+	// arrival is the sequence number of the arrival; it breaks ties.
+	arrival uint64
+	// work is the estimated work in tokens that is charged to class and account.
 	work float64
-	// position is the entry's place in each heap, or noPosition.
-	position [entryHeaps]int
+	// heapIndex is the entry's index in each kind of heap, or notInHeap.
+	heapIndex [entryHeapKinds]int
 
 	// endpoint is set while the entry runs.
 	endpoint *endpointState
-	// held says that another coordinator gave the grant.
-	held bool
-	// aged says that the grant was given by ageing; it is never preempted.
+	// adopted reports whether another coordinator issued the grant.
+	adopted bool
+	// aged reports whether the grant was given by ageing; such grants are never
+	// preempted.
 	aged bool
-	// preempting says that the grant has been asked back.
+	// preempting reports whether the grant is being preempted.
 	preempting bool
 	// prev and next link the preemptible grants of a tier.
 	prev, next *entry
 }
 
-// tierQueue is the classes of one tier.
+// tierQueue has the classes of one tier.
 type tierQueue struct {
 	tier    Tier
 	classes []*classQueue
 	waiting int
-	// virtual is the virtual time of the class served last; a class that
-	// becomes active starts there, so that it saves up no claim while idle.
-	virtual float64
-	grants  meter
-	// preemptible has the grants that may be asked back, the newest last.
+	// virtual is the virtual time of the class served last. A class that becomes
+	// active starts from it, so that it accumulates no credit while idle.
+	virtual   float64
+	grantRate rateMeter
+	// preemptible has the grants that may be preempted, newest last.
 	preemptible grantList
 }
 
-// classQueue is the waiting requests of one class.
+// classQueue has the waiting requests of one class.
 type classQueue struct {
-	// Class is what the choice among engines knows of the class.
+	// Class is the state of the class in the engine pool.
 	batching.Class
 	policy ClassPolicy
 	tier   *tierQueue
-	// virtual is the work granted, divided by the weight.
+	// virtual is the virtual time of the class: the work granted, divided by
+	// the weight.
 	virtual float64
-	// served is the virtual time of the account served last.
-	served   float64
-	accounts map[Account]*accountQueue
-	active   accountHeap
-	// late has the entries whose target is already missed.
+	// lastServedVirtual is the virtual time of the account served last.
+	lastServedVirtual float64
+	accounts          map[Account]*accountQueue
+	// active has the accounts with entries that are not late.
+	active accountHeap
+	// late has the entries that can no longer meet their target.
 	late   entryHeap
 	oldest entryHeap
-	// largest has the accounts by the number of their entries.
+	// largest has the accounts, the longest queue first.
 	largest accountHeap
-	// wanting is since when the class has asked for places, without getting
-	// one; it counts while wants is set.
-	wanting time.Duration
-	wants   bool
-	// tried counts the entries passed over in the present step, skipped those
-	// that were not even tried, since a long read has found no engine. The
-	// class is not tried again before blockedUntil.
-	tried, skipped int
-	longBlocked    bool
-	blockedUntil   time.Duration
-	figures        classFigures
+	// unservedSince is when the class first requested a slot after its last
+	// grant. It is valid while unserved is set.
+	unservedSince time.Duration
+	unserved      bool
+	// tried counts the entries for which no endpoint was found in the current
+	// step. skipped counts those that were not tried, because an earlier long
+	// prefill had found no engine (longPrefillBlocked). The class is not tried
+	// again before blockedUntil.
+	tried, skipped     int
+	longPrefillBlocked bool
+	blockedUntil       time.Duration
+	counters           classCounters
 }
 
-// accountQueue is the waiting requests of one account in one class.
+// accountQueue has the waiting requests of one account in one class.
 type accountQueue struct {
 	name    Account
 	virtual float64
-	// entries has those in time, youngest all of them.
+	// entries has the entries that are not late, youngest has all of them.
 	entries  entryHeap
 	youngest entryHeap
-	// position is the place in each heap of the class, or noPosition.
-	position [accountHeaps]int
+	// heapIndex is the account's index in each kind of heap, or notInHeap.
+	heapIndex [accountHeapKinds]int
 }
 
 func (a *accountQueue) waiting() int { return len(a.youngest.items) }
@@ -124,18 +128,18 @@
 
 func newClassQueue(p ClassPolicy) *classQueue {
 	q := &classQueue{
-		figures:  classFigures{refused: map[Refusal]int64{}},
+		counters: classCounters{refused: map[Refusal]int64{}},
 		accounts: map[Account]*accountQueue{},
-		late:     entryHeap{kind: byTurn},
-		oldest:   entryHeap{kind: byAge},
-		largest:  accountHeap{kind: bySize},
+		late:     entryHeap{kind: queueHeap},
+		oldest:   entryHeap{kind: oldestHeap},
+		largest:  accountHeap{kind: queueLengthHeap},
 	}
 	q.Waiting = q.waiting
 	q.setPolicy(p)
 	return q
 }
 
-// setPolicy puts what the table says of the class in force.
+// setPolicy applies the configuration of the class.
 func (q *classQueue) setPolicy(p ClassPolicy) {
 	q.policy = p
 	q.Tier, q.Target, q.Pause = int(p.Tier), p.Target, p.Pause
@@ -145,8 +149,8 @@
 
 func (q *classQueue) weight() float64 { return float64(max(1, q.policy.Weight)) }
 
-// maxIdleAccounts bounds the accounts that a class remembers without waiting
-// requests.
+// maxIdleAccounts limits the accounts without waiting requests that a class
+// keeps.
 const maxIdleAccounts = 1024
 
 func (q *classQueue) account(name Account) *accountQueue {
@@ -154,24 +158,25 @@
 		return a
 	}
 	if len(q.accounts) >= maxIdleAccounts+2*len(q.largest.items) {
-		q.forgetIdle()
+		q.evictIdleAccounts()
 	}
 	a := &accountQueue{
-		name:     name,
-		entries:  entryHeap{kind: byTurn},
-		youngest: entryHeap{kind: byYouth},
-		position: [accountHeaps]int{noPosition, noPosition},
+		name:      name,
+		entries:   entryHeap{kind: queueHeap},
+		youngest:  entryHeap{kind: youngestHeap},
+		heapIndex: [accountHeapKinds]int{notInHeap, notInHeap},
 	}
 	q.accounts[name] = a
 	return a
 }
 
-// forgetIdle drops the accounts that wait for nothing and owe nothing. Those
-// with a debt are dropped too if there are too many: the state stays bounded
-// and the debt is small against what else such a crowd gets.
-func (q *classQueue) forgetIdle() {
+// evictIdleAccounts drops the accounts that have no waiting requests and whose
+// virtual time is not ahead of the account served last. If too many remain, it
+// also drops idle accounts that are ahead: that bounds the state, and the excess
+// service of each is small compared to that of so many accounts together.
+func (q *classQueue) evictIdleAccounts() {
 	for name, a := range q.accounts {
-		if a.waiting() == 0 && a.virtual <= q.served {
+		if a.waiting() == 0 && a.virtual <= q.lastServedVirtual {
 			delete(q.accounts, name)
 		}
 	}
@@ -200,16 +205,16 @@
 	if a.waiting() == 1 {
 		q.largest.push(a)
 	} else {
-		q.largest.fix(a.position[bySize])
+		q.largest.fix(a.heapIndex[queueLengthHeap])
 	}
 	a.entries.push(e)
-	if a.position[byVirtual] == noPosition {
-		a.virtual = max(a.virtual, q.served)
+	if a.heapIndex[virtualTimeHeap] == notInHeap {
+		a.virtual = max(a.virtual, q.lastServedVirtual)
 		q.active.push(a)
 	}
 }
 
-// remove takes a waiting entry out.
+// remove removes a waiting entry.
 func (q *classQueue) remove(e *entry) {
 	q.tier.waiting--
 	q.oldest.remove(e)
@@ -218,7 +223,7 @@
 	if a.waiting() == 0 {
 		q.largest.remove(a)
 	} else {
-		q.largest.fix(a.position[bySize])
+		q.largest.fix(a.heapIndex[queueLengthHeap])
 	}
 	if e.Late {
 		q.late.remove(e)
@@ -234,15 +239,15 @@
 	}
 }
 
-// next returns the entry whose turn it is: the oldest that can still meet its
-// target, of the account that has had the least. Entries that have missed it
-// come after those, oldest first, so that an overload makes some requests
-// very late instead of all of them a little; ageing bounds their wait.
+// next returns the entry to grant next: the oldest that can still meet its
+// target, of the account with the lowest virtual time. Late entries follow,
+// oldest first, so that an overload makes some requests very late instead of
+// all of them slightly late; ageing bounds their wait.
 //
-// A request counts as late once its first token is expected past the target:
-// lead returns the time from its grant until then. Without that, an overloaded
-// class would be granted its places just before the target, and the first
-// tokens would come just after it.
+// A request counts as late once its first token is expected after the target;
+// lead returns the expected time from the grant to the first token. Otherwise
+// an overloaded class would be granted its slots just before the target, and
+// the first tokens would arrive just after it.
 func (q *classQueue) next(now time.Duration, lead func(*entry) time.Duration) *entry {
 	for {
 		a := q.active.first()
@@ -259,49 +264,52 @@
 	}
 }
 
-// leadSlack is by how much the expected time to the first token is exceeded
-// before an answer counts as late.
-const leadSlack = 1.5
+// leadTimeFactor is the safety factor on the expected time to first token when
+// deciding whether a request can still meet its target.
+const leadTimeFactor = 1.5
 
-// lead returns the time that an entry must be granted before its target; at
-// most half of the target, so that a class with an ambitious one is not late
-// from the start.
-func (c *Cell) lead(e *entry) time.Duration {
-	expected := time.Duration(c.firstPerToken.Value * float64(e.request.PromptTokens+firstTokenBase) * float64(time.Second))
+// leadTime returns how long before its target an entry must be granted. It is at
+// most half of the target, so that requests of a class with a very short target
+// are not late on arrival.
+func (c *Cell) leadTime(e *entry) time.Duration {
+	expected := time.Duration(c.ttftPerToken.Value * float64(e.request.PromptTokens+ttftPromptOffset) * float64(time.Second))
 	if c.pool.Batches() {
 		expected = c.pool.FirstToken(&e.Work)
 	}
-	return min(time.Duration(leadSlack*float64(expected)), e.class.policy.Target/2)
+	return min(time.Duration(leadTimeFactor*float64(expected)), e.class.policy.Target/2)
 }
 
-// charge books work that was granted, or corrects it.
+// charge adds granted work to the virtual times of class and account. Negative
+// work corrects an estimate that was too high.
 func (q *classQueue) charge(a *accountQueue, work float64) {
 	q.virtual += work / q.weight()
 	a.virtual += work
-	if i := a.position[byVirtual]; i != noPosition {
+	if i := a.heapIndex[virtualTimeHeap]; i != notInHeap {
 		q.active.fix(i)
 	}
 }
 
-// want notes that the class asks for a place, even if the request is refused.
-func (q *classQueue) want(now time.Duration) {
-	if !q.wants {
-		q.wants, q.wanting = true, now
+// noteDemand records that the class requested a slot, even if the request is
+// refused.
+func (q *classQueue) noteDemand(now time.Duration) {
+	if !q.unserved {
+		q.unserved, q.unservedSince = true, now
 	}
 }
 
-// starving returns by how much the class as a whole has waited past its bound
-// without any grant. Its single requests may all be shed from a full queue
-// before they have waited long.
+// starving returns by how much the time since the class first requested a slot
+// without being granted one exceeds MaxWait. The wait of its single requests
+// does not show this, because they may all be shed from a full queue before they
+// have waited that long.
 func (q *classQueue) starving(now time.Duration) (by time.Duration, ok bool) {
-	if q.waiting() == 0 || q.policy.MaxWait == 0 || !q.wants {
+	if q.waiting() == 0 || q.policy.MaxWait == 0 || !q.unserved {
 		return 0, false
 	}
-	by = now - q.wanting - q.policy.MaxWait
+	by = now - q.unservedSince - q.policy.MaxWait
 	return by, by >= 0
 }
 
-// overdue returns by how much the oldest entry has waited past the bound.
+// overdue returns by how much the wait of the oldest entry exceeds MaxWait.
 func (q *classQueue) overdue(now time.Duration) (by time.Duration, ok bool) {
 	if q.waiting() == 0 || q.policy.MaxWait == 0 {
 		return 0, false
--- a/internal/schedule/request.go
+++ b/internal/schedule/request.go
@@ -7,8 +7,8 @@
 	"github.com/beechhead/beechhead/internal/batching"
 )
 
-// Reserve queues a request. One that has been granted already is granted
-// again at the same endpoint: its first answer was lost.
+// Reserve queues a request. A request that already has a grant is granted the
+// same endpoint again, because the first decision was lost.
 func (c *Cell) Reserve(r Request) {
 	if e := c.entries[r.ID]; e != nil {
 		if e.endpoint != nil {
@@ -19,7 +19,7 @@
 	now := c.now()
 	q := c.class(r.Class)
 	if q != nil {
-		q.want(now)
+		q.noteDemand(now)
 	}
 	if refusal := c.admit(q, &r, now); refusal != "" {
 		c.refuseArrival(q, r.ID, refusal, now)
@@ -42,17 +42,17 @@
 	c.shedOverflow(now)
 }
 
-// prompt returns what the request asks of an engine.
+// prompt returns the parts of the request that matter to the engine pool.
 func (r *Request) prompt() batching.Prompt {
 	return batching.Prompt{Tokens: r.PromptTokens, Answer: r.EstimatedTokens, Parts: r.Parts, Zone: r.Zone}
 }
 
-// setClass notes the class of an entry that neither waits nor runs yet.
+// setClass sets the class of an entry that is neither queued nor running yet.
 func (e *entry) setClass(q *classQueue) {
 	e.class, e.Class = q, &q.Class
 }
 
-// admit returns why a request may not wait.
+// admit returns the reason to refuse a new request, or "" if it may be queued.
 func (c *Cell) admit(q *classQueue, r *Request, now time.Duration) Refusal {
 	switch {
 	case q == nil:
@@ -61,15 +61,16 @@
 		return RefusedNoEndpoint
 	case q.policy.MaxQueue > 0 && q.waiting() >= q.policy.MaxQueue:
 		return RefusedQueueFull
-	case c.hopeless(q, now):
+	case c.wouldExceedMaxWait(q, now):
 		return RefusedShed
 	}
 	return ""
 }
 
-// hasEndpoint tells whether some endpoint might ever take the request.
+// hasEndpoint reports whether any endpoint could serve the request, now or
+// later.
 func (c *Cell) hasEndpoint(r *Request) bool {
-	for _, e := range c.list {
+	for _, e := range c.sortedEndpoints {
 		if !e.policy.Draining && !slices.Contains(r.Excluded, e.policy.Name) {
 			return true
 		}
@@ -82,9 +83,9 @@
 		r.EstimatedTokens = c.estimates.Estimate(r.Class, r.Account)
 	}
 	var e *entry
-	if n := len(c.spare); n > 0 {
-		e = c.spare[n-1]
-		c.spare = c.spare[:n-1]
+	if n := len(c.freeEntries); n > 0 {
+		e = c.freeEntries[n-1]
+		c.freeEntries = c.freeEntries[:n-1]
 	} else {
 		e = &entry{}
 	}
@@ -92,40 +93,41 @@
 	*e = entry{
 		Work:    batching.Work{Prompt: r.prompt(), Since: now - r.Waited},
 		request: r,
-		order:   c.arrivals,
-		work:    workOf(r.PromptTokens, r.EstimatedTokens),
+		arrival: c.arrivals,
+		work:    estimateWork(r.PromptTokens, r.EstimatedTokens),
 	}
 	c.entries[r.ID] = e
 	return e
 }
 
-// free forgets an entry that neither waits nor runs.
-func (c *Cell) free(e *entry) {
+// recycle removes an entry that is neither queued nor running, and keeps its
+// memory for reuse.
+func (c *Cell) recycle(e *entry) {
 	delete(c.entries, e.request.ID)
 	*e = entry{}
-	c.spare = append(c.spare, e)
+	c.freeEntries = append(c.freeEntries, e)
 }
 
-// withdraw takes a waiting entry out of the queue.
-func (c *Cell) withdraw(e *entry) {
+// dequeue removes a waiting entry from the queue.
+func (c *Cell) dequeue(e *entry) {
 	e.class.remove(e)
 	c.waiting--
 }
 
-// Cancel withdraws a waiting request; false means that there is none. One that
-// runs is not touched.
+// Cancel removes a waiting request from the queue and reports whether there was
+// one. A running request is not affected.
 func (c *Cell) Cancel(id RequestID) bool {
 	e := c.entries[id]
 	if e == nil || e.endpoint != nil {
 		return false
 	}
-	c.withdraw(e)
-	e.class.figures.cancelled++
-	c.free(e)
+	c.dequeue(e)
+	e.class.counters.cancelled++
+	c.recycle(e)
 	return true
 }
 
-// Hold records a grant that another coordinator gave.
+// Hold records a grant that was issued by another coordinator.
 func (c *Cell) Hold(h Holding) {
 	now := c.now()
 	e := c.entries[h.ID]
@@ -133,8 +135,8 @@
 		return
 	}
 	if e != nil {
-		c.withdraw(e)
-		c.free(e)
+		c.dequeue(e)
+		c.recycle(e)
 	}
 	q, to := c.class(h.Class), c.endpoints[h.Endpoint]
 	if q == nil || to == nil {
@@ -150,36 +152,36 @@
 	}, now)
 	e.setClass(q)
 	e.account = q.account(h.Account)
-	c.run(e, to, now)
-	e.held = true
+	c.startGrant(e, to, now)
+	e.adopted = true
 	if h.Begun {
 		to.Forget(&e.Work)
 	}
 }
 
-// Release ends a grant. An unknown one is ignored.
+// Release ends a grant. Unknown grants are ignored.
 func (c *Cell) Release(id RequestID, r Report) {
 	e := c.entries[id]
 	if e == nil || e.endpoint == nil {
 		return
 	}
 	now := c.now()
-	c.stop(e)
-	c.learn(e, r, now)
+	c.endGrant(e)
+	c.recordOutcome(e, r, now)
 	if r.Unlimited {
-		c.lift(e)
+		c.removeLimit(e)
 	}
-	c.free(e)
+	c.recycle(e)
 }
 
-// learn takes in how a grant went: the endpoint's health, the length of the
-// answer, and the work that was charged by estimate.
-func (c *Cell) learn(e *entry, r Report, now time.Duration) {
+// recordOutcome updates the endpoint's health and the length estimates, and
+// corrects the work that was charged by estimate.
+func (c *Cell) recordOutcome(e *entry, r Report, now time.Duration) {
 	if r.Failed {
-		c.failed(e.endpoint, e.Granted, now)
+		c.recordFailure(e.endpoint, e.Granted, now)
 	} else if r.Tokens > 0 || r.Done {
-		c.succeeded(e.endpoint, now)
-		c.measured(e, Progress{FirstToken: r.FirstToken, Tokens: r.Tokens, Elapsed: r.Duration}, now)
+		c.recordSuccess(e.endpoint, now)
+		c.recordSpeed(e, Progress{FirstToken: r.FirstToken, Tokens: r.Tokens, Elapsed: r.Duration}, now)
 	}
 	if r.Done {
 		c.pool.Observe(&e.Work, &e.endpoint.Engine, batching.Stream{Events: r.Tokens, FirstToken: r.FirstToken, Longest: r.Longest})
@@ -187,29 +189,29 @@
 	if r.Done && r.Tokens > 0 {
 		e.class.Stayed(r.Duration)
 		c.estimates.Observe(e.request.Class, e.request.Account, e.request.EstimatedTokens, r.Tokens)
-		c.meanWork.Add(workOf(e.request.PromptTokens, r.Tokens))
+		c.meanWork.Add(estimateWork(e.request.PromptTokens, r.Tokens))
 	}
 	if r.Tokens > 0 {
-		e.class.charge(e.account, workOf(e.request.PromptTokens, r.Tokens)-e.work)
+		e.class.charge(e.account, estimateWork(e.request.PromptTokens, r.Tokens)-e.work)
 	}
 }
 
-// Progress takes in how a running grant goes.
+// Progress records the progress of a running grant.
 func (c *Cell) Progress(id RequestID, p Progress) {
 	e := c.entries[id]
 	if e == nil || e.endpoint == nil {
 		return
 	}
 	now := c.now()
-	c.succeeded(e.endpoint, now)
-	c.measured(e, p, now)
+	c.recordSuccess(e.endpoint, now)
+	c.recordSpeed(e, p, now)
 	c.pool.Begin(&e.endpoint.Engine, &e.Work, now)
 }
 
 func (c *Cell) refuseArrival(q *classQueue, id RequestID, why Refusal, now time.Duration) {
 	retry := defaultRetry
 	if q != nil {
-		q.figures.refused[why]++
+		q.counters.refused[why]++
 		retry = q.tier.retryAfter(now)
 	}
 	c.decide(Decision{ID: id, Refusal: why, RetryAfter: retry})
@@ -219,12 +221,12 @@
 	c.decide(Decision{ID: id, Refusal: why, RetryAfter: defaultRetry})
 }
 
-// DropHost forgets the requests and grants of an incarnation that is gone.
+// DropHost removes the requests and grants of an incarnation that has ended.
 func (c *Cell) DropHost(host Host, incarnation uint64) {
 	c.Reconcile(host, incarnation, nil)
 }
 
-// Reconcile forgets the requests and grants of an incarnation but those to
+// Reconcile removes the requests and grants of an incarnation, except those in
 // keep.
 func (c *Cell) Reconcile(host Host, incarnation uint64, keep map[RequestID]bool) {
 	for id, e := range c.entries {
@@ -232,10 +234,10 @@
 			continue
 		}
 		if e.endpoint != nil {
-			c.stop(e)
+			c.endGrant(e)
 		} else {
-			c.withdraw(e)
+			c.dequeue(e)
 		}
-		c.free(e)
+		c.recycle(e)
 	}
 }
--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -1,6 +1,8 @@
-// Package schedule makes the decisions of one cell: which waiting request
-// takes the next free place and on which endpoint. It is pure: it does no
-// input or output, starts no goroutines and is handed its clock.
+// Package schedule implements the scheduling decisions of one cell: which
+// queued request gets the next free slot, and on which endpoint. A cell is a
+// bounded set of endpoints with one queue; a slot is one unit of an endpoint's
+// concurrency. The package performs no I/O, starts no goroutines, and takes its
+// clock as a parameter.
 package schedule
 
 import (
@@ -9,22 +11,22 @@
 	"github.com/beechhead/beechhead/internal/batching"
 )
 
-// Clock tells the time.
+// Clock is the source of the current time.
 type Clock interface {
 	Now() time.Time
 }
 
-// Names and numbers that the decisions work with.
+// Identifiers used in scheduling decisions.
 type (
-	// Class names a class of requests.
+	// Class is the name of a request class.
 	Class string
-	// Account names a client account.
+	// Account is the name of a client account.
 	Account string
-	// Endpoint names an endpoint of the cell.
+	// Endpoint is the name of an endpoint in the cell.
 	Endpoint string
-	// Tier orders classes; zero is served first.
+	// Tier is the priority of a class; tier 0 is served first.
 	Tier int
-	// Host names an entry daemon.
+	// Host is the name of an entry daemon.
 	Host string
 )
 
@@ -36,95 +38,99 @@
 	Sequence uint64
 }
 
-// ClassPolicy is what the table says of a class.
+// ClassPolicy is the configuration of a class.
 type ClassPolicy struct {
 	Name   Class
 	Tier   Tier
 	Weight int
-	// MaxWait is the wait after which ageing lets the class take a place.
+	// MaxWait is the wait after which ageing may grant the class a slot ahead of
+	// higher tiers.
 	MaxWait time.Duration
-	// MaxQueue bounds the waiting requests; zero is unlimited.
+	// MaxQueue limits the number of waiting requests; zero means unlimited.
 	MaxQueue    int
 	Preemptible bool
-	// Target is the promised time to the first token, Pause that between two
-	// events; zero promises nothing.
+	// Target is the target time to first token, Pause the target gap between two
+	// events of the stream. Zero means no target.
 	Target, Pause time.Duration
 }
 
-// EndpointPolicy is what the table says of an endpoint.
+// EndpointPolicy is the configuration of an endpoint.
 type EndpointPolicy struct {
 	Name Endpoint
-	// Concurrency is how many grants it takes at once.
+	// Concurrency is the maximum number of concurrent grants.
 	Concurrency int
 	// Draining endpoints get no new grants.
 	Draining bool
-	// CanPreempt says that a running request can be cancelled there and
-	// resumed elsewhere.
+	// CanPreempt reports whether a running request can be cancelled on this
+	// endpoint and resumed on another one.
 	CanPreempt bool
-	// Memory is what an engine keeps, in tokens. If it is positive, the engine
-	// batches its requests and is chosen by what it has to read; see package batching.
+	// Memory is the size of the engine's cache, in tokens. If it is positive,
+	// the engine batches its requests and is chosen by its prefill load; see
+	// package batching.
 	Memory int
-	// Zone is the availability zone.
+	// Zone is the availability zone of the endpoint.
 	Zone string
 }
 
-// Discipline is the order of the queue and the choice of endpoints.
+// Discipline is the queueing discipline and endpoint selection policy.
 type Discipline int
 
-// The disciplines. All but ByTier are baselines for measurements: one queue
-// in order of arrival, without shedding by tier, ageing, preemption and
+// The disciplines. All but ByTier are baselines for measurements: a single
+// first-in, first-out queue without shedding by tier, ageing, preemption or
 // ejection.
 const (
-	// ByTier is the order that the package is about.
+	// ByTier is the default: priority by tier, and fair queueing by weight and
+	// account within a tier.
 	ByTier Discipline = iota
-	// RoundRobin takes the endpoints in turn.
+	// RoundRobin cycles through the endpoints.
 	RoundRobin
-	// LeastOutstanding takes the endpoint with the fewest grants.
+	// LeastOutstanding picks the endpoint with the fewest running grants.
 	LeastOutstanding
 )
 
-// Config is all that the table says of a cell.
+// Config is the configuration of a cell.
 type Config struct {
 	Classes   []ClassPolicy
 	Endpoints []EndpointPolicy
-	// MaxWaiting bounds the cell's whole queue; zero is unlimited.
+	// MaxWaiting limits the queue of the whole cell; zero means unlimited.
 	MaxWaiting int
 	Discipline Discipline
-	// Disabled mechanisms take no part.
+	// Disabled lists the mechanisms that are switched off.
 	Disabled []Mechanism
-	// Share is how many hosts may decide alone for the same endpoints; what
-	// these take is divided by it. Zero is one.
+	// Share is the number of hosts that may schedule requests on the same
+	// endpoints independently; the rate limits reported by the endpoints are
+	// divided by it. Zero means one.
 	Share int
 }
 
-// Request asks for a place.
+// Request is a request for a slot.
 type Request struct {
 	ID           RequestID
 	Class        Class
 	Account      Account
 	PromptTokens int
-	// EstimatedTokens is the expected length of the answer; zero lets the
-	// cell estimate it from history.
+	// EstimatedTokens is the expected length of the response; if it is zero, the
+	// cell estimates it from previous responses.
 	EstimatedTokens int
-	// Prefix is a hash of the start of the prompt; zero is none.
+	// Prefix is a hash of the start of the prompt; zero means none.
 	Prefix uint64
-	// Parts are the parts of the prompt in order.
+	// Parts are the parts of the prompt, in order.
 	Parts []Part
 	// Zone is the availability zone from which the request is sent.
 	Zone string
-	// Waited is how long the request has waited elsewhere.
+	// Waited is the time that the request has already waited elsewhere.
 	Waited time.Duration
-	// Useful is for how long after the request came an answer that begins is of
-	// use to the caller; zero is not known.
+	// Useful is how long after the arrival of the request its response may begin
+	// and still reach a caller who waits; zero means unknown.
 	Useful time.Duration
-	// Excluded lists endpoints that failed this request.
+	// Excluded lists the endpoints that have failed this request.
 	Excluded []Endpoint
 }
 
-// Part is a part of a prompt.
+// Part is a part of a prompt that an engine can cache.
 type Part = batching.Part
 
-// Holding is a grant in use that another coordinator gave.
+// Holding is a grant in use that was issued by another coordinator.
 type Holding struct {
 	ID              RequestID
 	Class           Class
@@ -133,45 +139,47 @@
 	EstimatedTokens int
 	PromptTokens    int
 	Parts           []Part
-	// Begun says that the first token has come.
+	// Begun reports whether the first token has been received.
 	Begun bool
 }
 
-// Report tells how a grant ended.
+// Report is the outcome of a grant.
 type Report struct {
-	// FirstToken and Duration are counted from the grant.
+	// FirstToken and Duration are measured from the grant.
 	FirstToken time.Duration
 	Duration   time.Duration
-	// Longest is the longest pause between two tokens.
+	// Longest is the longest gap between two tokens.
 	Longest time.Duration
 	Tokens  int
-	// Done says that the answer is whole.
+	// Done reports whether the response is complete.
 	Done bool
-	// Failed says that the endpoint failed the request.
+	// Failed reports whether the endpoint failed the request.
 	Failed bool
-	// Unlimited says that an answer came that named no limit.
+	// Unlimited reports whether the endpoint sent a response that states no rate
+	// limit.
 	Unlimited bool
 }
 
-// Progress is what is known of a grant while it runs.
+// Progress is the state of a running grant.
 type Progress struct {
 	// FirstToken is the time from the grant to the first token.
 	FirstToken time.Duration
-	// Tokens came within Elapsed, counted from the grant.
+	// Tokens is the number of tokens received within Elapsed, which is measured
+	// from the grant.
 	Tokens  int
 	Elapsed time.Duration
 }
 
-// Load is what an engine says of itself. It lags.
+// Load is the load that an engine reports. Reports lag behind its actual load.
 type Load struct {
 	Running int
 	Waiting int
 }
 
-// Refusal is why a request got no place.
+// Refusal is the reason why a request was refused.
 type Refusal string
 
-// The refusals of a cell.
+// The reasons for which a cell refuses requests.
 const (
 	RefusedShed       Refusal = "shed"
 	RefusedQueueFull  Refusal = "queueFull"
@@ -180,23 +188,24 @@
 	RefusedClass      Refusal = "unknownClass"
 )
 
-// Decision is what became of a request: a grant of an endpoint, a refusal, or
-// an order to give the grant back.
+// Decision is a scheduling decision on a request: the grant of a slot on an
+// endpoint, a refusal, or the preemption of a grant.
 type Decision struct {
 	ID RequestID
 	// Endpoint is set for a grant.
 	Endpoint Endpoint
-	// FetchFrom names an engine that keeps parts of the prompt which the
-	// endpoint should fetch; it may be empty.
+	// FetchFrom is an engine from whose cache the endpoint should fetch parts of
+	// the prompt; it may be empty.
 	FetchFrom Endpoint
-	// Backlog and Unread are what the choice went by: how long the endpoint had
-	// to read, and how long it will read this prompt. Decode says that it is
-	// kept for streams that long reads break.
+	// Backlog and Unread are the estimates on which the choice was based: the
+	// prefill time of the prompts granted to the endpoint before, and that of
+	// this prompt. Decode reports whether the endpoint is reserved for streams
+	// that long prefills would interrupt.
 	Backlog, Unread time.Duration
 	Decode          bool
 	// Refusal is set for a refusal.
 	Refusal    Refusal
 	RetryAfter time.Duration
-	// Preempt is set when a grant must be given back.
+	// Preempt is set if the host must cancel the request and release the grant.
 	Preempt bool
 }
--- a/internal/schedule/schedule_test.go
+++ b/internal/schedule/schedule_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestMain fixes the seed of the property tests, so that the verdict is the
-// same on every run.
+// TestMain fixes the seed of the property tests, so that their results are
+// reproducible.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if err := flag.Set("rapid.seed", "20261203"); err != nil {
@@ -21,7 +21,7 @@
 	os.Exit(m.Run())
 }
 
-// fakeClock is a clock that stands still until it is moved.
+// fakeClock is a clock that only moves when advanced.
 type fakeClock struct{ t time.Time }
 
 func newFakeClock() *fakeClock { return &fakeClock{t: time.Unix(1_000_000, 0)} }
--- a/internal/schedule/script_test.go
+++ b/internal/schedule/script_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// script runs a scripted test. Each line of its file is a command with
-// arguments; "step" ends with the decisions that are expected after "->".
+// script runs a scripted test. Each line of the file is a command with
+// arguments; a "step" command lists the expected decisions after "->".
 type script struct {
 	t     *testing.T
 	line  string
@@ -84,7 +84,7 @@
 	}
 }
 
-// act gives one event to the cell.
+// act passes one event to the cell.
 func (s *script) act(command string, args []string) {
 	switch command {
 	case "reserve":
--- a/internal/schedule/shed.go
+++ b/internal/schedule/shed.go
@@ -3,25 +3,27 @@
 import "time"
 
 const (
-	// hopelessQueue is how many requests of a tier may always wait.
-	hopelessQueue = 8
-	// expiredShare is the share of its class's bound that a request may wait
-	// longer before it is refused.
-	expiredShare = 4
-	defaultRetry = time.Second
-	maxRetry     = 30 * time.Second
+	// minQueueToRefuse is the queue length of a tier below which no new request
+	// is refused for its expected wait.
+	minQueueToRefuse = 8
+	// expiryDivisor determines when a waiting request expires: after MaxWait plus
+	// MaxWait divided by this.
+	expiryDivisor = 4
+	defaultRetry  = time.Second
+	maxRetry      = 30 * time.Second
 )
 
-// shedOverflow refuses waiting requests while there are too many: the
-// youngest of the lowest tier, of the class with the most for its weight and
-// its account with the most, so that a burst of one sheds none of the others.
-// Nothing is shed while a lower tier than that runs preemptibly: it is about
-// to give its places back.
+// shedOverflow sheds waiting requests while the queue exceeds its limit. It takes
+// the youngest request of the lowest waiting tier, from the class with the most
+// waiting requests relative to its weight and its account with the most, so that
+// a burst of one account sheds no requests of others. Nothing is shed while a
+// still lower tier has preemptible grants, since these are about to be preempted.
 //
-// The entry to which ageing will give the next place is spared as well, and
-// meanwhile nothing above it is shed: without that, a class below a tier that
-// fills the queue by itself would never be served. The excess ends with the
-// next place that comes free; if none does, the entry is shed after all.
+// The entry that ageing will grant next is spared, and while it is the only one
+// that could be shed in its tier, nothing of the tiers above is shed instead.
+// Otherwise, a class below a tier that fills the queue by itself would never be
+// served. The excess ends with the next slot that becomes free; if none does and
+// the queue exceeds twice its limit, the entry is shed after all.
 func (c *Cell) shedOverflow(now time.Duration) {
 	if c.maxWaiting == 0 || c.waiting-c.preempting <= c.maxWaiting {
 		return
@@ -31,11 +33,11 @@
 		spared = c.overdue(now)
 	}
 	for c.waiting-c.preempting > c.maxWaiting {
-		t := c.lowestWaiting()
-		if c.runsBelow(t.tier) {
+		t := c.lowestWaitingTier()
+		if c.hasPreemptibleBelow(t.tier) {
 			return
 		}
-		victim := t.victim(spared)
+		victim := t.shedVictim(spared)
 		if victim == nil {
 			return
 		}
@@ -43,22 +45,23 @@
 	}
 }
 
-// victim returns the entry to shed from the tier, or nil if only the spared
-// one waits.
-func (t *tierQueue) victim(spared *entry) *entry {
-	q := t.largest(spared)
+// shedVictim returns the entry to shed from the tier, or nil if only the spared
+// one is waiting.
+func (t *tierQueue) shedVictim(spared *entry) *entry {
+	q := t.largestClass(spared)
 	if q == nil {
 		return nil
 	}
 	e := q.largest.first().youngest.first()
 	if e == spared {
-		// The oldest of a class stands first in its heap by age.
+		// The oldest entry of a class is first in its heap by age, so that the
+		// last one is a different one.
 		e = q.oldest.items[len(q.oldest.items)-1]
 	}
 	return e
 }
 
-func (c *Cell) lowestWaiting() *tierQueue {
+func (c *Cell) lowestWaitingTier() *tierQueue {
 	for i := len(c.tiers) - 1; i >= 0; i-- {
 		if c.tiers[i].waiting > 0 {
 			return c.tiers[i]
@@ -67,8 +70,8 @@
 	return nil
 }
 
-// runsBelow tells whether a lower tier runs preemptibly.
-func (c *Cell) runsBelow(t Tier) bool {
+// hasPreemptibleBelow reports whether a lower tier has preemptible grants.
+func (c *Cell) hasPreemptibleBelow(t Tier) bool {
 	for i := len(c.tiers) - 1; i >= 0 && c.tiers[i].tier > t; i-- {
 		if c.tiers[i].preemptible.n > 0 {
 			return true
@@ -77,9 +80,9 @@
 	return false
 }
 
-// largest returns the class with the most waiting for its weight, not counting
-// the spared entry; nil if no other waits.
-func (t *tierQueue) largest(spared *entry) *classQueue {
+// largestClass returns the class with the most waiting requests relative to its
+// weight, not counting the spared entry, or nil if no other request waits.
+func (t *tierQueue) largestClass(spared *entry) *classQueue {
 	var largest *classQueue
 	var most float64
 	for _, q := range t.classes {
@@ -96,19 +99,19 @@
 
 func (c *Cell) shed(e *entry, now time.Duration) {
 	retry := e.class.tier.retryAfter(now)
-	c.withdraw(e)
-	e.class.figures.refused[RefusedShed]++
+	c.dequeue(e)
+	e.class.counters.refused[RefusedShed]++
 	c.decide(Decision{ID: e.request.ID, Refusal: RefusedShed, RetryAfter: retry})
-	c.free(e)
+	c.recycle(e)
 }
 
-// shedExpired refuses the requests of the lowest tier that waits once they
-// have waited a quarter longer than their class's bound. Ageing has not reached
-// them, and it won't soon: its rate is bounded. The oldest of each class stays
-// for it, and the highest tier is served late rather than shed.
+// shedExpired sheds requests of the lowest waiting tier that have waited a
+// quarter longer than the MaxWait of their class. Ageing has not reached them
+// and, since its rate is limited, will not do so soon. The oldest request of each
+// class is kept for ageing, and the highest tier is served late rather than shed.
 func (c *Cell) shedExpired(now time.Duration) {
-	t := c.lowestWaiting()
-	if c.discipline != ByTier || c.off(Shedding) || t == nil || t == c.highest() || c.runsBelow(t.tier) {
+	t := c.lowestWaitingTier()
+	if c.discipline != ByTier || c.isDisabled(Shedding) || t == nil || t == c.highestTier() || c.hasPreemptibleBelow(t.tier) {
 		return
 	}
 	for _, q := range t.classes {
@@ -118,13 +121,13 @@
 	}
 }
 
-// expired returns an entry that has waited too long, but for the oldest.
+// expired returns an entry that has waited too long, other than the oldest.
 func (q *classQueue) expired(now time.Duration) *entry {
-	limit := q.policy.MaxWait + q.policy.MaxWait/expiredShare
+	limit := q.policy.MaxWait + q.policy.MaxWait/expiryDivisor
 	if limit == 0 {
 		return nil
 	}
-	// The oldest stands at 0 in the heap, the next oldest at 1 or 2.
+	// The oldest entry is at index 0 of the heap, the second oldest at 1 or 2.
 	for i := 1; i < min(3, q.waiting()); i++ {
 		if e := q.oldest.items[i]; now-e.Since > limit {
 			return e
@@ -133,8 +136,8 @@
 	return nil
 }
 
-// highest returns the highest tier of the table, or nil if there is none.
-func (c *Cell) highest() *tierQueue {
+// highestTier returns the highest tier with classes, or nil if there is none.
+func (c *Cell) highestTier() *tierQueue {
 	for _, t := range c.tiers {
 		if len(t.classes) > 0 {
 			return t
@@ -143,24 +146,26 @@
 	return nil
 }
 
-// hopeless tells whether a request that comes now would wait past its class's
-// bound, by the rate at which its tier was granted places lately. Only the
-// lowest tier of the scope is refused that way: a higher one is served late
-// rather than shed.
-func (c *Cell) hopeless(q *classQueue, now time.Duration) bool {
-	if c.discipline != ByTier || c.off(Shedding) || q.policy.MaxWait == 0 || q.tier == c.highest() || q.tier.waiting < hopelessQueue {
+// wouldExceedMaxWait reports whether a new request is expected to wait longer
+// than the MaxWait of its class, judging by the recent grant rate of its tier.
+// Requests are refused this way only if no lower tier waits or has preemptible
+// grants, and never in the highest tier: higher tiers are served late rather than
+// shed.
+func (c *Cell) wouldExceedMaxWait(q *classQueue, now time.Duration) bool {
+	if c.discipline != ByTier || c.isDisabled(Shedding) || q.policy.MaxWait == 0 || q.tier == c.highestTier() || q.tier.waiting < minQueueToRefuse {
 		return false
 	}
-	if c.lowestWaiting().tier > q.tier.tier || c.runsBelow(q.tier.tier) {
+	if c.lowestWaitingTier().tier > q.tier.tier || c.hasPreemptibleBelow(q.tier.tier) {
 		return false
 	}
-	rate, ok := q.tier.grants.rate(now)
+	rate, ok := q.tier.grantRate.rate(now)
 	return ok && float64(q.tier.waiting) > rate*q.policy.MaxWait.Seconds()
 }
 
-// retryAfter returns when the tier's queue will have been served.
+// retryAfter returns the time after which the present queue of the tier will
+// have been served, within defaultRetry and maxRetry.
 func (t *tierQueue) retryAfter(now time.Duration) time.Duration {
-	rate, ok := t.grants.rate(now)
+	rate, ok := t.grantRate.rate(now)
 	if !ok || rate == 0 {
 		return defaultRetry
 	}
--- a/internal/schedule/status.go
+++ b/internal/schedule/status.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// classFigures counts what became of a class's requests.
-type classFigures struct {
+// classCounters counts the requests of a class by outcome.
+type classCounters struct {
 	granted, aged, preempted, cancelled int64
 	refused                             map[Refusal]int64
 	longestWait                         time.Duration
 }
 
-// cellFigures counts what happened in a cell.
-type cellFigures struct {
+// cellCounters counts events of a cell.
+type cellCounters struct {
 	ejections int64
 }
 
-// CellStatus is what operators see of a cell.
+// CellStatus is the state of a cell as shown to operators.
 type CellStatus struct {
 	Waiting   int              `json:"waiting"`
 	Running   int              `json:"running"`
@@ -28,8 +28,8 @@
 	Estimates EstimateError    `json:"estimates"`
 }
 
-// ClassStatus is what operators see of a class in a cell. The counts are since
-// this daemon runs the cell.
+// ClassStatus is the state of a class in a cell as shown to operators. Counters
+// start when this daemon takes over the cell.
 type ClassStatus struct {
 	Class     Class             `json:"class"`
 	Tier      Tier              `json:"tier"`
@@ -40,43 +40,44 @@
 	Preempted int64             `json:"preempted"`
 	Cancelled int64             `json:"cancelled"`
 	Refused   map[Refusal]int64 `json:"refused"`
-	// LongestWaitMS is that of all requests granted; OldestWaitMS is that
-	// of those which wait.
+	// LongestWaitMS is the longest wait of all granted requests, OldestWaitMS
+	// that of the requests that still wait.
 	LongestWaitMS int64 `json:"longestWaitMs"`
 	OldestWaitMS  int64 `json:"oldestWaitMs"`
 }
 
-// EndpointStatus is what operators see of an endpoint.
+// EndpointStatus is the state of an endpoint as shown to operators.
 type EndpointStatus struct {
 	Endpoint    Endpoint `json:"endpoint"`
 	Concurrency int      `json:"concurrency"`
 	Running     int      `json:"running"`
-	// Foreign counts requests that others run there, by its last report.
+	// Foreign counts the requests that others run on the endpoint, according to
+	// its last load report.
 	Foreign int `json:"foreign"`
 	// OutstandingTokens is the estimated work of the running grants.
 	OutstandingTokens int         `json:"outstandingTokens"`
 	Draining          bool        `json:"draining"`
 	Ejected           EjectReason `json:"ejected,omitempty"`
-	// LimitPerSecond is the limit that the endpoint names; zero is none.
+	// LimitPerSecond is the rate limit that the endpoint reports; zero means none.
 	LimitPerSecond float64 `json:"limitPerSecond,omitempty"`
-	// BetweenTokensMS is the measured time per token; zero is unknown.
+	// BetweenTokensMS is the measured time per token; zero means unknown.
 	BetweenTokensMS float64 `json:"betweenTokensMs"`
 }
 
-// Status returns the cell's figures.
+// Status returns the state of the cell.
 func (c *Cell) Status() CellStatus {
 	now := c.now()
 	s := CellStatus{
 		Waiting:   c.waiting,
 		Running:   c.running,
-		Places:    c.places,
-		Ejections: c.figures.ejections,
+		Places:    c.totalSlots,
+		Ejections: c.counters.ejections,
 		Estimates: c.estimates.Error(),
 	}
-	for _, q := range c.order {
+	for _, q := range c.classOrder {
 		s.Classes = append(s.Classes, q.status(now))
 	}
-	for _, e := range c.list {
+	for _, e := range c.sortedEndpoints {
 		s.Endpoints = append(s.Endpoints, EndpointStatus{
 			Endpoint:          e.policy.Name,
 			Concurrency:       e.policy.Concurrency,
@@ -86,7 +87,7 @@
 			Draining:          e.policy.Draining,
 			Ejected:           e.health.reason,
 			LimitPerSecond:    e.limit.perSecond,
-			BetweenTokensMS:   e.health.token.Value * 1000,
+			BetweenTokensMS:   e.health.tokenTime.Value * 1000,
 		})
 	}
 	return s
@@ -98,12 +99,12 @@
 		Tier:          q.policy.Tier,
 		Waiting:       q.waiting(),
 		Running:       q.Running,
-		Granted:       q.figures.granted,
-		Aged:          q.figures.aged,
-		Preempted:     q.figures.preempted,
-		Cancelled:     q.figures.cancelled,
-		Refused:       maps.Clone(q.figures.refused),
-		LongestWaitMS: q.figures.longestWait.Milliseconds(),
+		Granted:       q.counters.granted,
+		Aged:          q.counters.aged,
+		Preempted:     q.counters.preempted,
+		Cancelled:     q.counters.cancelled,
+		Refused:       maps.Clone(q.counters.refused),
+		LongestWaitMS: q.counters.longestWait.Milliseconds(),
 	}
 	if e := q.oldest.first(); e != nil {
 		s.OldestWaitMS = (now - e.Since).Milliseconds()
@@ -111,11 +112,11 @@
 	return s
 }
 
-// Pressure is how crowded a cell is for a tier: the waiting requests of the
-// tier and those above it, plus the running grants that it can't displace,
-// divided by the places.
+// Pressure returns the load of the cell as seen by a tier: the waiting requests
+// of the tier and those above it, plus the running grants that it can't preempt,
+// divided by the number of slots.
 func (c *Cell) Pressure(t Tier) float64 {
-	if c.places == 0 {
+	if c.totalSlots == 0 {
 		return 0
 	}
 	n := c.running
@@ -126,5 +127,5 @@
 			n -= q.preemptible.n
 		}
 	}
-	return float64(n) / float64(c.places)
+	return float64(n) / float64(c.totalSlots)
 }
--- a/internal/schedule/toolate_test.go
+++ b/internal/schedule/toolate_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// askUseful reserves a place for a caller who leaves after a time.
+// askUseful reserves a slot for a caller who gives up after the given time.
 func (c *decodeCell) askUseful(class Class, prompt int, useful time.Duration) RequestID {
 	c.next++
 	id := RequestID{Host: "h", Sequence: c.next}
@@ -13,11 +13,12 @@
 	return id
 }
 
-// A burst takes all engines for seconds. Requests waited until a moment before
-// their callers left, were sent, and were read by engines for nobody; the
-// callers had no time left to come back. Each must be refused while its caller
-// still waits, with a time to come back that differs from the others'.
-func TestNothingIsSentInVain(t *testing.T) {
+// Guards against granting requests whose callers give up before the response
+// begins. A burst takes all engines for seconds; requests waited until just
+// before their callers gave up and were then processed for nobody, and the
+// callers had no time left to retry. Each request must be refused while its
+// caller still waits, with retry times that differ between callers.
+func TestRequestsAreRefusedBeforeCallersGiveUp(t *testing.T) {
 	const useful = 2400 * time.Millisecond
 	c := newDecodeCell(1, ClassPolicy{Name: "heavy", Tier: 0, Weight: 1, Target: 2 * time.Second})
 	for range 64 {
@@ -33,9 +34,9 @@
 			at := c.clock.Since(asked)
 			switch {
 			case d.Endpoint != "" && at+c.pool.Overhead() > useful:
-				t.Errorf("a request was sent after %v, its caller leaves after %v", at, useful)
+				t.Errorf("a request was granted after %v, its caller gives up after %v", at, useful)
 			case d.Refusal == RefusedTooLate && at > useful:
-				t.Errorf("a request was refused after %v, its caller has left after %v", at, useful)
+				t.Errorf("a request was refused after %v, its caller gave up after %v", at, useful)
 			case d.Refusal == RefusedTooLate:
 				refused[d.RetryAfter] = true
 			}
@@ -44,22 +45,22 @@
 	}
 	for _, e := range c.entries {
 		if e.endpoint == nil && e.request.Useful > 0 {
-			t.Errorf("a request waits for a caller who has left")
+			t.Errorf("a request waits although its caller has given up")
 		}
 	}
 	if len(refused) < 5 {
-		t.Errorf("callers are told %d different times to come back", len(refused))
+		t.Errorf("callers are told %d different retry times, want at least 5", len(refused))
 	}
 	for after := range refused {
-		if after < minReturn/2 || after > 2*maxReturn {
-			t.Errorf("a caller is told to come back after %v", after)
+		if after < minTooLateRetry/2 || after > 2*maxTooLateRetry {
+			t.Errorf("a caller is told to retry after %v", after)
 		}
 	}
 }
 
-// Requests without such a time wait as long as they must: a stream that has
+// Requests without a caller timeout wait as long as necessary: a stream that has
 // begun elsewhere can't be refused.
-func TestRequestsOfUnknownUseWait(t *testing.T) {
+func TestRequestsWithoutCallerTimeoutWait(t *testing.T) {
 	c := newDecodeCell(1, ClassPolicy{Name: "heavy", Tier: 0, Weight: 1, Target: 2 * time.Second})
 	for range 70 {
 		c.ask("heavy", 4000, 100)
@@ -74,13 +75,13 @@
 		}
 	}
 	if waiting == 0 || c.waiting == 0 {
-		t.Errorf("%d waited, %d do now", waiting, c.waiting)
+		t.Errorf("%d requests waited at first, %d at the end", waiting, c.waiting)
 	}
 }
 
-// One caller leaves much sooner than the one before it in the queue. It must
-// not be granted a place when its turn comes after it has left.
-func TestTurnThatComesTooLate(t *testing.T) {
+// A caller gives up much sooner than the one before it in the queue. Its request
+// must not be granted a slot that becomes free after that.
+func TestRequestOfCallerWhoGaveUpIsNotGranted(t *testing.T) {
 	c := newDecodeCell(1, heavyClass)
 	var first []RequestID
 	for range 64 {
@@ -96,7 +97,7 @@
 	}
 	for _, d := range c.Step() {
 		if d.ID == soon && d.Refusal != RefusedTooLate {
-			t.Errorf("the caller who has left got %+v", d)
+			t.Errorf("the request of a caller who has given up got %+v", d)
 		}
 	}
 }
