--- a/internal/cell/convert.go
+++ b/internal/cell/convert.go
@@ -14,14 +14,14 @@
 
 // config returns the scheduler configuration of a cell, built from the table.
 func (c *Coordinator) config(id ID) schedule.Config {
-	cfg := schedule.Config{Discipline: c.discipline, Disabled: c.Disabled, Share: c.share}
+	cfg := schedule.Config{Discipline: c.discipline, Disabled: c.Disabled, IndependentHosts: c.share}
 	endpoints := c.plan.Endpoints(id)
 	for _, e := range endpoints {
 		cfg.Endpoints = append(cfg.Endpoints, schedule.EndpointPolicy{
 			Name:        schedule.Endpoint(e.Name),
 			Concurrency: (e.Concurrency + c.share - 1) / c.share,
 			CanPreempt:  e.CanCancel && e.CanResume,
-			Memory:      e.MemoryTokens / c.share,
+			CacheTokens: e.MemoryTokens / c.share,
 			Zone:        e.Zone,
 			Draining:    c.draining[e.Name],
 		})
@@ -39,14 +39,14 @@
 			continue
 		}
 		cfg.Classes = append(cfg.Classes, schedule.ClassPolicy{
-			Name:        schedule.Class(cl.Name),
-			Tier:        schedule.Tier(cl.Tier),
-			Weight:      cl.Weight,
-			MaxWait:     cl.MaxWait.Std(),
-			MaxQueue:    (cl.Limits.Queue + cells - 1) / cells,
-			Preemptible: cl.Preemptible && cl.Idempotent,
-			Target:      cl.Target.FirstToken.Std(),
-			Pause:       cl.Target.BetweenTokens.Std(),
+			Name:             schedule.Class(cl.Name),
+			Tier:             schedule.Tier(cl.Tier),
+			Weight:           cl.Weight,
+			MaxWait:          cl.MaxWait.Std(),
+			MaxQueue:         (cl.Limits.Queue + cells - 1) / cells,
+			Preemptible:      cl.Preemptible && cl.Idempotent,
+			FirstTokenTarget: cl.Target.FirstToken.Std(),
+			GapTarget:        cl.Target.BetweenTokens.Std(),
 		})
 	}
 	return cfg
@@ -63,7 +63,7 @@
 		Parts:           parts(r.GetParts()),
 		Zone:            r.GetZone(),
 		Waited:          time.Duration(r.GetWaitedMs()) * time.Millisecond,
-		Useful:          time.Duration(r.GetUsefulMs()) * time.Millisecond,
+		StartTimeout:    time.Duration(r.GetUsefulMs()) * time.Millisecond,
 	}
 	for _, name := range r.GetExcluded() {
 		req.Excluded = append(req.Excluded, schedule.Endpoint(name))
@@ -73,14 +73,14 @@
 
 func (s *Session) holding(h *peerv1.Holding) schedule.Holding {
 	return schedule.Holding{
-		ID:              s.id(h.GetSequence()),
-		Class:           schedule.Class(h.GetClass()),
-		Account:         schedule.Account(h.GetAccount()),
-		Endpoint:        schedule.Endpoint(h.GetEndpoint()),
-		EstimatedTokens: int(h.GetEstimatedTokens()),
-		PromptTokens:    int(h.GetPromptTokens()),
-		Parts:           parts(h.GetParts()),
-		Begun:           h.GetBegun(),
+		ID:                 s.id(h.GetSequence()),
+		Class:              schedule.Class(h.GetClass()),
+		Account:            schedule.Account(h.GetAccount()),
+		Endpoint:           schedule.Endpoint(h.GetEndpoint()),
+		EstimatedTokens:    int(h.GetEstimatedTokens()),
+		PromptTokens:       int(h.GetPromptTokens()),
+		Parts:              parts(h.GetParts()),
+		FirstTokenReceived: h.GetBegun(),
 	}
 }
 
@@ -97,13 +97,13 @@
 
 func report(r *peerv1.Release) schedule.Report {
 	return schedule.Report{
-		FirstToken: time.Duration(r.GetFirstTokenUs()) * time.Microsecond,
-		Duration:   time.Duration(r.GetDurationMs()) * time.Millisecond,
-		Longest:    time.Duration(r.GetLongestPauseUs()) * time.Microsecond,
-		Tokens:     int(r.GetTokens()),
-		Done:       r.GetOutcome() == peerv1.ReleaseOutcome_RELEASE_OUTCOME_DONE,
-		Failed:     failed(r.GetOutcome()),
-		Unlimited:  r.GetUnlimited(),
+		FirstToken:  time.Duration(r.GetFirstTokenUs()) * time.Microsecond,
+		Duration:    time.Duration(r.GetDurationMs()) * time.Millisecond,
+		LongestGap:  time.Duration(r.GetLongestPauseUs()) * time.Microsecond,
+		Tokens:      int(r.GetTokens()),
+		Done:        r.GetOutcome() == peerv1.ReleaseOutcome_RELEASE_OUTCOME_DONE,
+		Failed:      failed(r.GetOutcome()),
+		NoRateLimit: r.GetUnlimited(),
 	}
 }
 
--- a/internal/cell/coordinator.go
+++ b/internal/cell/coordinator.go
@@ -322,8 +322,8 @@
 			Sequence:  d.ID.Sequence,
 			Endpoint:  string(d.Endpoint),
 			FetchFrom: string(d.FetchFrom),
-			BacklogMs: uint32(d.Backlog / time.Millisecond),
-			UnreadMs:  uint32(d.Unread / time.Millisecond),
+			BacklogMs: uint32(d.PrefillBacklog / time.Millisecond),
+			UnreadMs:  uint32(d.PrefillTime / time.Millisecond),
 			Decode:    d.Decode,
 		})
 	}
--- a/internal/cell/orphans.go
+++ b/internal/cell/orphans.go
@@ -43,12 +43,12 @@
 }
 
 // orphans returns the holders whose daemon incarnation has terminated.
-func (c *Coordinator) orphans(living *membership.Snapshot, now time.Time) []schedule.Holder {
+func (c *Coordinator) orphans(living *membership.Snapshot, now time.Time) []schedule.HostIncarnation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var orphans []schedule.Holder
+	var orphans []schedule.HostIncarnation
 	for _, cell := range c.cells {
-		for _, h := range cell.Holders() {
+		for _, h := range cell.HostIncarnations() {
 			if c.isOrphan(h, living, now) {
 				orphans = append(orphans, h)
 			}
@@ -61,7 +61,7 @@
 // of the host is alive, or the host is not alive and has no session or has sent
 // nothing for orphanTimeout. A daemon that is missing from the view by mistake
 // still sends batches and is kept.
-func (c *Coordinator) isOrphan(h schedule.Holder, living *membership.Snapshot, now time.Time) bool {
+func (c *Coordinator) isOrphan(h schedule.HostIncarnation, living *membership.Snapshot, now time.Time) bool {
 	if host, ok := living.Find(membership.HostID(h.Host)); ok {
 		return host.Incarnation > h.Incarnation
 	}
--- a/internal/cell/session.go
+++ b/internal/cell/session.go
@@ -140,14 +140,14 @@
 	for _, h := range req.GetHoldings() {
 		cell := c.cell(ID(h.GetCell()))
 		cell.lastReport = s.lastBatch
-		cell.Hold(s.holding(h))
+		cell.AdoptGrant(s.holding(h))
 	}
 	for _, r := range req.GetReserves() {
 		c.cell(ID(r.GetCell())).Reserve(s.request(r))
 	}
 	for _, l := range req.GetLimits() {
 		age := time.Duration(l.GetAgeMs()) * time.Millisecond
-		c.cell(ID(l.GetCell())).Limit(schedule.Endpoint(l.GetEndpoint()), l.GetPerSecond(), age)
+		c.cell(ID(l.GetCell())).SetRateLimit(schedule.Endpoint(l.GetEndpoint()), l.GetPerSecond(), age)
 	}
 	for _, p := range req.GetProgress() {
 		c.cell(ID(p.GetCell())).Progress(s.id(p.GetSequence()), progress(p))
--- a/internal/replay/player.go
+++ b/internal/replay/player.go
@@ -114,13 +114,13 @@
 	cfg := schedule.Config{Discipline: discipline, Disabled: p.s.Disabled}
 	for _, name := range p.names {
 		cfg.Endpoints = append(cfg.Endpoints, schedule.EndpointPolicy{
-			Name: name, Concurrency: p.s.Engines.Slots, Memory: p.s.Engines.MemoryTokens,
+			Name: name, Concurrency: p.s.Engines.Slots, CacheTokens: p.s.Engines.MemoryTokens,
 		})
 	}
 	for _, c := range p.s.Classes {
 		cfg.Classes = append(cfg.Classes, schedule.ClassPolicy{
 			Name: schedule.Class(c.Name), Tier: schedule.Tier(c.Tier), Weight: 1,
-			Target: c.Target.Std(), Pause: c.Pause.Std(), MaxWait: c.Deadline.Std() / maxWaitShare,
+			FirstTokenTarget: c.Target.Std(), GapTarget: c.Pause.Std(), MaxWait: c.Deadline.Std() / maxWaitShare,
 		})
 	}
 	p.cell.Configure(cfg)
@@ -172,9 +172,9 @@
 	res.window(p.now).Asked++
 	p.pending[r.ID] = r
 	p.at(r.arrived+c.Deadline.Std(), func() { p.expire(r) })
-	r.Useful = c.Deadline.Std()
+	r.StartTimeout = c.Deadline.Std()
 	if c.Leaves > 0 {
-		r.Useful = c.Leaves.Std()
+		r.StartTimeout = c.Leaves.Std()
 		p.leaves(r)
 	}
 	p.reserve(r)
@@ -183,7 +183,7 @@
 // leaves has a caller go that has seen no event by then.
 func (p *player) leaves(r *request) {
 	id := r.ID
-	p.after(r.Useful, func() {
+	p.after(r.StartTimeout, func() {
 		if r.events == 0 && r.ID == id {
 			p.expire(r)
 		}
@@ -213,7 +213,7 @@
 		if r.ended {
 			return
 		}
-		r.Useful = min(r.Useful, left-after)
+		r.StartTimeout = min(r.StartTimeout, left-after)
 		p.leaves(r)
 		p.reserve(r)
 	})
@@ -313,9 +313,9 @@
 			p.cell.Reserve(again)
 			continue
 		}
-		p.cell.Hold(schedule.Holding{
+		p.cell.AdoptGrant(schedule.Holding{
 			ID: id, Class: r.Class, Endpoint: r.engine.name, EstimatedTokens: r.EstimatedTokens,
-			PromptTokens: r.PromptTokens, Parts: r.Parts, Begun: r.events > 0,
+			PromptTokens: r.PromptTokens, Parts: r.Parts, FirstTokenReceived: r.events > 0,
 		})
 	}
 	p.step()
--- a/internal/replay/request.go
+++ b/internal/replay/request.go
@@ -57,7 +57,7 @@
 	}
 	if j.made >= r.answer {
 		r.result.count(r.arrived, r.late)
-		p.release(r, schedule.Report{FirstToken: r.first, Duration: p.now - r.granted, Longest: r.longest, Tokens: r.events, Done: true})
+		p.release(r, schedule.Report{FirstToken: r.first, Duration: p.now - r.granted, LongestGap: r.longest, Tokens: r.events, Done: true})
 		p.end(r)
 	}
 }
--- a/internal/schedule/batch_test.go
+++ b/internal/schedule/batch_test.go
@@ -66,7 +66,7 @@
 	for i := range engines {
 		name := Endpoint(fmt.Sprintf("e%02d", i))
 		s.engines[name] = &simEngine{rate: 80_000}
-		cfg.Endpoints = append(cfg.Endpoints, EndpointPolicy{Name: name, Concurrency: 64, Memory: 600_000})
+		cfg.Endpoints = append(cfg.Endpoints, EndpointPolicy{Name: name, Concurrency: 64, CacheTokens: 600_000})
 	}
 	s.cell.Configure(cfg)
 	return s
@@ -176,8 +176,8 @@
 }
 
 var (
-	urgentClass = ClassPolicy{Name: "urgent", Tier: 0, Weight: 1, MaxWait: 6 * time.Second, Target: 300 * time.Millisecond}
-	longClass   = ClassPolicy{Name: "long", Tier: 2, Weight: 1, MaxWait: 7 * time.Second, Target: 2 * time.Second}
+	urgentClass = ClassPolicy{Name: "urgent", Tier: 0, Weight: 1, MaxWait: 6 * time.Second, FirstTokenTarget: 300 * time.Millisecond}
+	longClass   = ClassPolicy{Name: "long", Tier: 2, Weight: 1, MaxWait: 7 * time.Second, FirstTokenTarget: 2 * time.Second}
 )
 
 // Guards against a burst of long prompts that makes a more urgent class miss its
@@ -275,9 +275,9 @@
 func TestHoldingsRebuildTheBacklog(t *testing.T) {
 	s := newBatchSite(1, urgentClass, longClass)
 	for i, begun := range []bool{true, false} {
-		s.cell.Hold(Holding{
+		s.cell.AdoptGrant(Holding{
 			ID: RequestID{Host: "h", Sequence: uint64(i)}, Class: "long", Endpoint: "e00",
-			PromptTokens: 7000, EstimatedTokens: 100, Begun: begun,
+			PromptTokens: 7000, EstimatedTokens: 100, FirstTokenReceived: begun,
 		})
 	}
 	e := s.cell.endpoints["e00"]
--- a/internal/schedule/batchbench_test.go
+++ b/internal/schedule/batchbench_test.go
@@ -24,11 +24,11 @@
 	clock := clockwork.NewFakeClock()
 	c := NewCell(clock)
 	cfg := Config{Classes: []ClassPolicy{
-		{Name: "quick", Tier: 0, Weight: 1, Target: 250 * time.Millisecond, Pause: 120 * time.Millisecond},
-		{Name: "report", Tier: 1, Weight: 1, Target: 600 * time.Millisecond, Pause: 200 * time.Millisecond},
+		{Name: "quick", Tier: 0, Weight: 1, FirstTokenTarget: 250 * time.Millisecond, GapTarget: 120 * time.Millisecond},
+		{Name: "report", Tier: 1, Weight: 1, FirstTokenTarget: 600 * time.Millisecond, GapTarget: 200 * time.Millisecond},
 	}}
 	for i := range engines {
-		cfg.Endpoints = append(cfg.Endpoints, EndpointPolicy{Name: Endpoint(fmt.Sprintf("e%03d", i)), Concurrency: 32, Memory: 300_000})
+		cfg.Endpoints = append(cfg.Endpoints, EndpointPolicy{Name: Endpoint(fmt.Sprintf("e%03d", i)), Concurrency: 32, CacheTokens: 300_000})
 	}
 	c.Configure(cfg)
 	id := uint64(0)
@@ -51,6 +51,6 @@
 		c.Step()
 		clock.Advance(time.Millisecond)
 		c.Progress(r, Progress{FirstToken: 60 * time.Millisecond, Tokens: 1, Elapsed: 60 * time.Millisecond})
-		c.Release(r, Report{Done: true, Tokens: 70, FirstToken: 60 * time.Millisecond, Duration: time.Second, Longest: 30 * time.Millisecond})
+		c.Release(r, Report{Done: true, Tokens: 70, FirstToken: 60 * time.Millisecond, Duration: time.Second, LongestGap: 30 * time.Millisecond})
 	}
 }
--- a/internal/schedule/configure.go
+++ b/internal/schedule/configure.go
@@ -12,7 +12,7 @@
 	c.discipline = cfg.Discipline
 	c.maxWaiting = cfg.MaxWaiting
 	c.disabled = cfg.Disabled
-	c.share = cfg.Share
+	c.share = cfg.IndependentHosts
 	if c.discipline != ByTier {
 		cfg.Classes = []ClassPolicy{{}}
 	}
@@ -65,7 +65,7 @@
 	}
 	for _, q := range old {
 		for _, e := range c.detachFromTier(q) {
-			c.refuse(e.request.ID, RefusedClass)
+			c.refuse(e.request.ID, RefusedUnknownClass)
 			c.recycle(e)
 		}
 	}
--- a/internal/schedule/decode_test.go
+++ b/internal/schedule/decode_test.go
@@ -9,9 +9,9 @@
 )
 
 var (
-	latencySensitiveClass = ClassPolicy{Name: "latencySensitive", Tier: 0, Weight: 1, MaxWait: 6 * time.Second, Target: 300 * time.Millisecond, Pause: 200 * time.Millisecond}
-	heavyClass            = ClassPolicy{Name: "heavy", Tier: 2, Weight: 1, MaxWait: 7 * time.Second, Target: 2 * time.Second, Pause: 800 * time.Millisecond}
-	briefClass            = ClassPolicy{Name: "brief", Tier: 1, Weight: 1, MaxWait: 2 * time.Second, Target: 500 * time.Millisecond, Pause: 300 * time.Millisecond}
+	latencySensitiveClass = ClassPolicy{Name: "latencySensitive", Tier: 0, Weight: 1, MaxWait: 6 * time.Second, FirstTokenTarget: 300 * time.Millisecond, GapTarget: 200 * time.Millisecond}
+	heavyClass            = ClassPolicy{Name: "heavy", Tier: 2, Weight: 1, MaxWait: 7 * time.Second, FirstTokenTarget: 2 * time.Second, GapTarget: 800 * time.Millisecond}
+	briefClass            = ClassPolicy{Name: "brief", Tier: 1, Weight: 1, MaxWait: 2 * time.Second, FirstTokenTarget: 500 * time.Millisecond, GapTarget: 300 * time.Millisecond}
 )
 
 // decodeCell is a cell of batching engines with a fake clock.
@@ -26,7 +26,7 @@
 	c := &decodeCell{Cell: NewCell(clock), clock: clock}
 	cfg := Config{Classes: classes}
 	for i := range engines {
-		cfg.Endpoints = append(cfg.Endpoints, EndpointPolicy{Name: Endpoint(fmt.Sprintf("e%02d", i)), Concurrency: 64, Memory: 600_000})
+		cfg.Endpoints = append(cfg.Endpoints, EndpointPolicy{Name: Endpoint(fmt.Sprintf("e%02d", i)), Concurrency: 64, CacheTokens: 600_000})
 	}
 	c.Configure(cfg)
 	return c
@@ -117,7 +117,7 @@
 	c.begun(id)
 	cfg := Config{Classes: []ClassPolicy{latencySensitiveClass, heavyClass}}
 	for name := range c.decodeNames() {
-		cfg.Endpoints = append(cfg.Endpoints, EndpointPolicy{Name: name, Concurrency: 64, Memory: 600_000})
+		cfg.Endpoints = append(cfg.Endpoints, EndpointPolicy{Name: name, Concurrency: 64, CacheTokens: 600_000})
 	}
 	c.Configure(cfg)
 	c.clock.Advance(time.Second)
--- a/internal/schedule/endpoint.go
+++ b/internal/schedule/endpoint.go
@@ -39,7 +39,7 @@
 func (e *endpointState) setPolicy(p EndpointPolicy) {
 	e.policy = p
 	e.Rename(string(p.Name))
-	e.Memory, e.Concurrency, e.Zone = p.Memory, p.Concurrency, p.Zone
+	e.Memory, e.Concurrency, e.Zone = p.CacheTokens, p.Concurrency, p.Zone
 	e.Closed = p.Draining
 }
 
--- a/internal/schedule/health.go
+++ b/internal/schedule/health.go
@@ -215,7 +215,7 @@
 	if h.stale(g.Granted) {
 		return
 	}
-	if p.FirstToken > 0 && e.policy.Memory == 0 {
+	if p.FirstToken > 0 && e.policy.CacheTokens == 0 {
 		perToken := p.FirstToken.Seconds() / float64(promptTokens+ttftPromptOffset)
 		h.ttft.Add(perToken)
 		c.ttftPerToken.Add(perToken)
--- a/internal/schedule/interference_test.go
+++ b/internal/schedule/interference_test.go
@@ -6,8 +6,8 @@
 )
 
 var (
-	quickClass  = ClassPolicy{Name: "quick", Tier: 0, Weight: 1, MaxWait: 6 * time.Second, Target: 250 * time.Millisecond, Pause: 120 * time.Millisecond}
-	reportClass = ClassPolicy{Name: "report", Tier: 1, Weight: 1, Target: 600 * time.Millisecond, Pause: 200 * time.Millisecond}
+	quickClass  = ClassPolicy{Name: "quick", Tier: 0, Weight: 1, MaxWait: 6 * time.Second, FirstTokenTarget: 250 * time.Millisecond, GapTarget: 120 * time.Millisecond}
+	reportClass = ClassPolicy{Name: "report", Tier: 1, Weight: 1, FirstTokenTarget: 600 * time.Millisecond, GapTarget: 200 * time.Millisecond}
 )
 
 const (
@@ -81,7 +81,7 @@
 func TestShortReadsAreSpread(t *testing.T) {
 	c := newProtectedCell(t, 10, 40)
 	patient := quickClass
-	patient.Target = 2 * time.Second
+	patient.FirstTokenTarget = 2 * time.Second
 	c.class("quick").setPolicy(patient)
 	c.clock.Advance(time.Second)
 	c.Step()
--- a/internal/schedule/limit.go
+++ b/internal/schedule/limit.go
@@ -46,9 +46,9 @@
 	}
 }
 
-// Limit records the rate limit that an endpoint reported in a response, received
-// the given time ago. The limit applies to all hosts together.
-func (c *Cell) Limit(name Endpoint, perSecond float64, age time.Duration) {
+// SetRateLimit records the rate limit that an endpoint reported in a response,
+// received the given time ago. The limit applies to all hosts together.
+func (c *Cell) SetRateLimit(name Endpoint, perSecond float64, age time.Duration) {
 	e := c.endpoints[name]
 	if e == nil || perSecond <= 0 {
 		return
--- a/internal/schedule/order.go
+++ b/internal/schedule/order.go
@@ -176,7 +176,7 @@
 	e.aged = aged
 	d := Decision{
 		ID: e.request.ID, Endpoint: to.policy.Name,
-		Backlog: to.Backlog(now), Unread: e.Unread, Decode: to.Decode,
+		PrefillBacklog: to.Backlog(now), PrefillTime: e.Unread, Decode: to.Decode,
 	}
 	if source != nil {
 		e.Fetched = source.Kept(e.request.Parts)
--- a/internal/schedule/overload_test.go
+++ b/internal/schedule/overload_test.go
@@ -67,7 +67,7 @@
 			default:
 				wait := now - arrived[d.ID]
 				r.longest[c.Name] = max(r.longest[c.Name], wait)
-				if wait <= c.Target {
+				if wait <= c.FirstTokenTarget {
 					r.inTime[c.Name]++
 				} else {
 					r.late[c.Name]++
@@ -99,9 +99,9 @@
 }
 
 var overloadClasses = []ClassPolicy{
-	{Name: "counter", Tier: 0, Weight: 4, MaxWait: 5 * time.Second, Target: 500 * time.Millisecond},
-	{Name: "slots", Tier: 1, Weight: 4, MaxWait: 8 * time.Second, Target: 800 * time.Millisecond},
-	{Name: "notes", Tier: 3, Weight: 1, MaxWait: 10 * time.Second, Target: 4 * time.Second},
+	{Name: "counter", Tier: 0, Weight: 4, MaxWait: 5 * time.Second, FirstTokenTarget: 500 * time.Millisecond},
+	{Name: "slots", Tier: 1, Weight: 4, MaxWait: 8 * time.Second, FirstTokenTarget: 800 * time.Millisecond},
+	{Name: "notes", Tier: 3, Weight: 1, MaxWait: 10 * time.Second, FirstTokenTarget: 4 * time.Second},
 }
 
 // The offered load is three times the capacity, over all classes. The number of
--- a/internal/schedule/partialfailure_test.go
+++ b/internal/schedule/partialfailure_test.go
@@ -32,7 +32,7 @@
 	random := rand.New(rand.NewPCG(seed, seed))
 	clock := newFakeClock()
 	cell := NewCell(clock)
-	cell.Configure(Config{Classes: []ClassPolicy{{Name: "a", Weight: 1, Target: failureTarget}}, Endpoints: endpoints(p.endpoints, failureSlots)})
+	cell.Configure(Config{Classes: []ClassPolicy{{Name: "a", Weight: 1, FirstTokenTarget: failureTarget}}, Endpoints: endpoints(p.endpoints, failureSlots)})
 	names := make([]Endpoint, 0, p.endpoints)
 	for _, e := range cell.sortedEndpoints {
 		names = append(names, e.policy.Name)
--- a/internal/schedule/property_test.go
+++ b/internal/schedule/property_test.go
@@ -27,7 +27,7 @@
 }
 
 var modelClasses = []ClassPolicy{
-	{Name: "top", Tier: 0, Weight: 2, MaxWait: 5 * time.Second, Target: time.Second},
+	{Name: "top", Tier: 0, Weight: 2, MaxWait: 5 * time.Second, FirstTokenTarget: time.Second},
 	{Name: "topToo", Tier: 0, Weight: 1, MaxWait: 5 * time.Second},
 	{Name: "middle", Tier: 1, Weight: 1, MaxWait: 8 * time.Second, Preemptible: true},
 	{Name: "low", Tier: 3, Weight: 1, MaxWait: 10 * time.Second, Preemptible: true},
--- a/internal/schedule/queue.go
+++ b/internal/schedule/queue.go
@@ -142,7 +142,7 @@
 // setPolicy applies the configuration of the class.
 func (q *classQueue) setPolicy(p ClassPolicy) {
 	q.policy = p
-	q.Tier, q.Target, q.Pause = int(p.Tier), p.Target, p.Pause
+	q.Tier, q.Target, q.Pause = int(p.Tier), p.FirstTokenTarget, p.GapTarget
 }
 
 func (q *classQueue) waiting() int { return len(q.oldest.items) }
@@ -255,7 +255,7 @@
 			return q.late.first()
 		}
 		e := a.entries.first()
-		if q.policy.Target == 0 || now-e.Since+lead(e) < q.policy.Target {
+		if q.policy.FirstTokenTarget == 0 || now-e.Since+lead(e) < q.policy.FirstTokenTarget {
 			return e
 		}
 		q.removeFromAccount(e)
@@ -276,7 +276,7 @@
 	if c.pool.Batches() {
 		expected = c.pool.FirstToken(&e.Work)
 	}
-	return min(time.Duration(leadTimeFactor*float64(expected)), e.class.policy.Target/2)
+	return min(time.Duration(leadTimeFactor*float64(expected)), e.class.policy.FirstTokenTarget/2)
 }
 
 // charge adds granted work to the virtual times of class and account. Negative
--- a/internal/schedule/request.go
+++ b/internal/schedule/request.go
@@ -56,7 +56,7 @@
 func (c *Cell) admit(q *classQueue, r *Request, now time.Duration) Refusal {
 	switch {
 	case q == nil:
-		return RefusedClass
+		return RefusedUnknownClass
 	case !c.hasEndpoint(r):
 		return RefusedNoEndpoint
 	case q.policy.MaxQueue > 0 && q.waiting() >= q.policy.MaxQueue:
@@ -127,8 +127,8 @@
 	return true
 }
 
-// Hold records a grant that was issued by another coordinator.
-func (c *Cell) Hold(h Holding) {
+// AdoptGrant records a grant that was issued by another coordinator.
+func (c *Cell) AdoptGrant(h Holding) {
 	now := c.now()
 	e := c.entries[h.ID]
 	if e != nil && e.endpoint != nil {
@@ -154,7 +154,7 @@
 	e.account = q.account(h.Account)
 	c.startGrant(e, to, now)
 	e.adopted = true
-	if h.Begun {
+	if h.FirstTokenReceived {
 		to.Forget(&e.Work)
 	}
 }
@@ -168,7 +168,7 @@
 	now := c.now()
 	c.endGrant(e)
 	c.recordOutcome(e, r, now)
-	if r.Unlimited {
+	if r.NoRateLimit {
 		c.removeLimit(e)
 	}
 	c.recycle(e)
@@ -184,7 +184,7 @@
 		c.recordSpeed(e, Progress{FirstToken: r.FirstToken, Tokens: r.Tokens, Elapsed: r.Duration}, now)
 	}
 	if r.Done {
-		c.pool.Observe(&e.Work, &e.endpoint.Engine, batching.Stream{Events: r.Tokens, FirstToken: r.FirstToken, Longest: r.Longest})
+		c.pool.Observe(&e.Work, &e.endpoint.Engine, batching.Stream{Events: r.Tokens, FirstToken: r.FirstToken, Longest: r.LongestGap})
 	}
 	if r.Done && r.Tokens > 0 {
 		e.class.Stayed(r.Duration)
--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -49,9 +49,9 @@
 	// MaxQueue limits the number of waiting requests; zero means unlimited.
 	MaxQueue    int
 	Preemptible bool
-	// Target is the target time to first token, Pause the target gap between two
-	// events of the stream. Zero means no target.
-	Target, Pause time.Duration
+	// FirstTokenTarget is the target time to first token, GapTarget the target
+	// gap between two events of the stream. Zero means no target.
+	FirstTokenTarget, GapTarget time.Duration
 }
 
 // EndpointPolicy is the configuration of an endpoint.
@@ -64,10 +64,10 @@
 	// CanPreempt reports whether a running request can be cancelled on this
 	// endpoint and resumed on another one.
 	CanPreempt bool
-	// Memory is the size of the engine's cache, in tokens. If it is positive,
-	// the engine batches its requests and is chosen by its prefill load; see
-	// package batching.
-	Memory int
+	// CacheTokens is the size of the engine's KV cache, in tokens. If it is
+	// positive, the engine batches its requests and is chosen by its prefill
+	// load; see package batching.
+	CacheTokens int
 	// Zone is the availability zone of the endpoint.
 	Zone string
 }
@@ -97,10 +97,10 @@
 	Discipline Discipline
 	// Disabled lists the mechanisms that are switched off.
 	Disabled []Mechanism
-	// Share is the number of hosts that may schedule requests on the same
-	// endpoints independently; the rate limits reported by the endpoints are
-	// divided by it. Zero means one.
-	Share int
+	// IndependentHosts is the number of hosts that may schedule requests on the
+	// same endpoints independently; the rate limits reported by the endpoints
+	// are divided by it. Zero means one.
+	IndependentHosts int
 }
 
 // Request is a request for a slot.
@@ -120,9 +120,9 @@
 	Zone string
 	// Waited is the time that the request has already waited elsewhere.
 	Waited time.Duration
-	// Useful is how long after the arrival of the request its response may begin
-	// and still reach a caller who waits; zero means unknown.
-	Useful time.Duration
+	// StartTimeout is how long after the arrival of the request its response may
+	// begin and still reach a caller who waits; zero means unknown.
+	StartTimeout time.Duration
 	// Excluded lists the endpoints that have failed this request.
 	Excluded []Endpoint
 }
@@ -139,8 +139,8 @@
 	EstimatedTokens int
 	PromptTokens    int
 	Parts           []Part
-	// Begun reports whether the first token has been received.
-	Begun bool
+	// FirstTokenReceived reports whether the first token has been received.
+	FirstTokenReceived bool
 }
 
 // Report is the outcome of a grant.
@@ -148,16 +148,16 @@
 	// FirstToken and Duration are measured from the grant.
 	FirstToken time.Duration
 	Duration   time.Duration
-	// Longest is the longest gap between two tokens.
-	Longest time.Duration
-	Tokens  int
+	// LongestGap is the longest gap between two tokens.
+	LongestGap time.Duration
+	Tokens     int
 	// Done reports whether the response is complete.
 	Done bool
 	// Failed reports whether the endpoint failed the request.
 	Failed bool
-	// Unlimited reports whether the endpoint sent a response that states no rate
-	// limit.
-	Unlimited bool
+	// NoRateLimit reports whether the endpoint sent a response that states no
+	// rate limit.
+	NoRateLimit bool
 }
 
 // Progress is the state of a running grant.
@@ -181,11 +181,11 @@
 
 // The reasons for which a cell refuses requests.
 const (
-	RefusedShed       Refusal = "shed"
-	RefusedQueueFull  Refusal = "queueFull"
-	RefusedTooLate    Refusal = "tooLate"
-	RefusedNoEndpoint Refusal = "noEndpoint"
-	RefusedClass      Refusal = "unknownClass"
+	RefusedShed         Refusal = "shed"
+	RefusedQueueFull    Refusal = "queueFull"
+	RefusedTooLate      Refusal = "tooLate"
+	RefusedNoEndpoint   Refusal = "noEndpoint"
+	RefusedUnknownClass Refusal = "unknownClass"
 )
 
 // Decision is a scheduling decision on a request: the grant of a slot on an
@@ -197,12 +197,12 @@
 	// FetchFrom is an engine from whose cache the endpoint should fetch parts of
 	// the prompt; it may be empty.
 	FetchFrom Endpoint
-	// Backlog and Unread are the estimates on which the choice was based: the
-	// prefill time of the prompts granted to the endpoint before, and that of
-	// this prompt. Decode reports whether the endpoint is reserved for streams
-	// that long prefills would interrupt.
-	Backlog, Unread time.Duration
-	Decode          bool
+	// PrefillBacklog and PrefillTime are the estimates on which the choice was
+	// based: the prefill time of the prompts granted to the endpoint before, and
+	// that of this prompt. Decode reports whether the endpoint is reserved for
+	// streams that long prefills would interrupt.
+	PrefillBacklog, PrefillTime time.Duration
+	Decode                      bool
 	// Refusal is set for a refusal.
 	Refusal    Refusal
 	RetryAfter time.Duration
--- a/internal/schedule/script_test.go
+++ b/internal/schedule/script_test.go
@@ -56,7 +56,7 @@
 	case "class":
 		s.cfg.Classes = append(s.cfg.Classes, ClassPolicy{
 			Name: Class(args[0]), Tier: Tier(s.number(args, "tier")), Weight: s.number(args, "weight"),
-			MaxWait: s.duration(args, "maxWait"), Target: s.duration(args, "target"),
+			MaxWait: s.duration(args, "maxWait"), FirstTokenTarget: s.duration(args, "target"),
 			MaxQueue: s.number(args, "queue"), Preemptible: s.has(args, "preemptible"),
 		})
 	case "endpoint":
@@ -66,7 +66,7 @@
 	case "limit":
 		s.cfg.MaxWaiting = s.number(args, "waiting")
 	case "share":
-		s.cfg.Share = s.count(args[0])
+		s.cfg.IndependentHosts = s.count(args[0])
 	case "discipline":
 		s.cfg.Discipline = map[string]Discipline{"roundRobin": RoundRobin, "leastOutstanding": LeastOutstanding}[args[0]]
 	case "drain":
@@ -102,18 +102,18 @@
 	case "cancel":
 		s.cell.Cancel(s.id(args[0]))
 	case "hold":
-		s.cell.Hold(Holding{ID: s.id(args[0]), Class: Class(args[1]), Endpoint: Endpoint(args[2])})
+		s.cell.AdoptGrant(Holding{ID: s.id(args[0]), Class: Class(args[1]), Endpoint: Endpoint(args[2])})
 	case "release":
 		s.cell.Release(s.id(args[0]), Report{
 			FirstToken: s.duration(args, "first"), Duration: s.duration(args, "duration"), Tokens: s.number(args, "tokens"),
-			Done: s.has(args, "done"), Failed: s.has(args, "failed"), Unlimited: s.has(args, "unlimited"),
+			Done: s.has(args, "done"), Failed: s.has(args, "failed"), NoRateLimit: s.has(args, "unlimited"),
 		})
 	case "progress":
 		s.cell.Progress(s.id(args[0]), Progress{
 			FirstToken: s.duration(args, "first"), Elapsed: s.duration(args, "elapsed"), Tokens: s.number(args, "tokens"),
 		})
 	case "named":
-		s.cell.Limit(Endpoint(args[0]), float64(s.number(args, "perSecond")), s.duration(args, "age"))
+		s.cell.SetRateLimit(Endpoint(args[0]), float64(s.number(args, "perSecond")), s.duration(args, "age"))
 	case "load":
 		s.cell.ObserveLoad(Endpoint(args[0]), Load{Running: s.number(args, "running"), Waiting: s.number(args, "waiting")})
 	case "loadFailed":
--- a/internal/schedule/toolate.go
+++ b/internal/schedule/toolate.go
@@ -34,15 +34,15 @@
 // tooLate reports whether the response to a request that is granted now would
 // begin after its caller has given up.
 func (c *Cell) tooLate(e *entry, now time.Duration) bool {
-	useful := e.request.Useful
-	if useful == 0 {
+	startTimeout := e.request.StartTimeout
+	if startTimeout == 0 {
 		return false
 	}
 	begins := now - e.Since + transitTime
 	if c.pool.Batches() {
 		begins += c.pool.FirstToken(&e.Work)
 	}
-	return begins > useful
+	return begins > startTimeout
 }
 
 // shedTooLate refuses the waiting requests whose responses would begin too late.
--- a/internal/schedule/toolate_test.go
+++ b/internal/schedule/toolate_test.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// askUseful reserves a slot for a caller who gives up after the given time.
-func (c *decodeCell) askUseful(class Class, prompt int, useful time.Duration) RequestID {
+// askWithStartTimeout reserves a slot for a caller who gives up after the given
+// time.
+func (c *decodeCell) askWithStartTimeout(class Class, prompt int, startTimeout time.Duration) RequestID {
 	c.next++
 	id := RequestID{Host: "h", Sequence: c.next}
-	c.Reserve(Request{ID: id, Class: class, PromptTokens: prompt, EstimatedTokens: 100, Useful: useful})
+	c.Reserve(Request{ID: id, Class: class, PromptTokens: prompt, EstimatedTokens: 100, StartTimeout: startTimeout})
 	return id
 }
 
@@ -19,24 +20,24 @@
 // callers had no time left to retry. Each request must be refused while its
 // caller still waits, with retry times that differ between callers.
 func TestRequestsAreRefusedBeforeCallersGiveUp(t *testing.T) {
-	const useful = 2400 * time.Millisecond
-	c := newDecodeCell(1, ClassPolicy{Name: "heavy", Tier: 0, Weight: 1, Target: 2 * time.Second})
+	const startTimeout = 2400 * time.Millisecond
+	c := newDecodeCell(1, ClassPolicy{Name: "heavy", Tier: 0, Weight: 1, FirstTokenTarget: 2 * time.Second})
 	for range 64 {
 		c.ask("heavy", 4000, 100)
 	}
 	asked := c.clock.Now()
 	for range 20 {
-		c.askUseful("heavy", 4000, useful)
+		c.askWithStartTimeout("heavy", 4000, startTimeout)
 	}
 	refused := map[time.Duration]bool{}
 	for range 300 {
 		for _, d := range c.Step() {
 			at := c.clock.Since(asked)
 			switch {
-			case d.Endpoint != "" && at+c.pool.Overhead() > useful:
-				t.Errorf("a request was granted after %v, its caller gives up after %v", at, useful)
-			case d.Refusal == RefusedTooLate && at > useful:
-				t.Errorf("a request was refused after %v, its caller gave up after %v", at, useful)
+			case d.Endpoint != "" && at+c.pool.Overhead() > startTimeout:
+				t.Errorf("a request was granted after %v, its caller gives up after %v", at, startTimeout)
+			case d.Refusal == RefusedTooLate && at > startTimeout:
+				t.Errorf("a request was refused after %v, its caller gave up after %v", at, startTimeout)
 			case d.Refusal == RefusedTooLate:
 				refused[d.RetryAfter] = true
 			}
@@ -44,7 +45,7 @@
 		c.clock.Advance(10 * time.Millisecond)
 	}
 	for _, e := range c.entries {
-		if e.endpoint == nil && e.request.Useful > 0 {
+		if e.endpoint == nil && e.request.StartTimeout > 0 {
 			t.Errorf("a request waits although its caller has given up")
 		}
 	}
@@ -58,10 +59,10 @@
 	}
 }
 
-// Requests without a caller timeout wait as long as necessary: a stream that has
+// Requests without a start timeout wait as long as necessary: a stream that has
 // begun elsewhere can't be refused.
-func TestRequestsWithoutCallerTimeoutWait(t *testing.T) {
-	c := newDecodeCell(1, ClassPolicy{Name: "heavy", Tier: 0, Weight: 1, Target: 2 * time.Second})
+func TestRequestsWithoutStartTimeoutWait(t *testing.T) {
+	c := newDecodeCell(1, ClassPolicy{Name: "heavy", Tier: 0, Weight: 1, FirstTokenTarget: 2 * time.Second})
 	for range 70 {
 		c.ask("heavy", 4000, 100)
 	}
@@ -88,8 +89,8 @@
 		id, _ := c.ask("heavy", 100, 100)
 		first = append(first, id)
 	}
-	c.askUseful("heavy", 100, 10*time.Second)
-	soon := c.askUseful("heavy", 100, 500*time.Millisecond)
+	c.askWithStartTimeout("heavy", 100, 10*time.Second)
+	soon := c.askWithStartTimeout("heavy", 100, 500*time.Millisecond)
 	c.Step()
 	c.clock.Advance(time.Second)
 	for _, id := range first {
