--- a/internal/batching/affinity.go
+++ b/internal/batching/affinity.go
@@ -29,7 +29,7 @@
 	c.affinityTokens = tokens - c.cached
 	best := uint64(0)
 	for _, e := range p.engines {
-		if e.Memory == 0 || e.Closed || e.Paced(now) || e.Ejected(now) {
+		if e.Memory == 0 || e.Closed || e.RateLimited(now) || e.Ejected(now) {
 			continue
 		}
 		if score := stat.Mix(chain ^ e.hash); c.affinityEngine == nil || score > best {
--- a/internal/batching/batching.go
+++ b/internal/batching/batching.go
@@ -52,31 +52,31 @@
 
 // Prompt describes the work that a request puts on an engine.
 type Prompt struct {
-	// Tokens is the length of the prompt, Answer the expected length of the
+	// Tokens is the length of the prompt, ResponseTokens the expected length of the
 	// response, in tokens.
-	Tokens, Answer int
+	Tokens, ResponseTokens int
 	// Parts are the parts of the prompt in order.
 	Parts []Part
 	// Zone is the availability zone of the host that sends the request.
 	Zone string
 }
 
-// Work is the state of a request that waits for an engine or runs on one.
-type Work struct {
+// RequestState is the state of a request that waits for an engine or runs on one.
+type RequestState struct {
 	Prompt Prompt
 	Class  *Class
-	// Since is when it began to wait, Granted when it was given a slot.
-	Since, Granted time.Duration
+	// WaitingSince is when it began to wait, Granted when it was given a slot.
+	WaitingSince, Granted time.Duration
 	// Late means that its first token is expected after the target.
 	Late bool
-	// Fetched is the number of prompt tokens that the engine fetches from the
+	// FetchedTokens is the number of prompt tokens that the engine fetches from the
 	// KV cache of another one.
-	Fetched int
-	// Unread is the expected prefill time after all cached parts are fetched.
-	Unread time.Duration
-	// LongRead means that its prefill exceeded the gap limit of protected
+	FetchedTokens int
+	// PrefillTime is the expected prefill time after all cached parts are fetched.
+	PrefillTime time.Duration
+	// LongPrefill means that its prefill exceeded the gap limit of protected
 	// streams when it was last checked.
-	LongRead bool
+	LongPrefill bool
 
 	// prefillCost is the cost of the prefill on the engine, in tokens at the
 	// start of a prompt. reservedMemory is the KV cache reserved for the
--- a/internal/batching/choice.go
+++ b/internal/batching/choice.go
@@ -72,7 +72,7 @@
 }
 
 // Candidate evaluates a request for the choice of an engine.
-func (p *Pool) Candidate(g *Work, now time.Duration) Candidate {
+func (p *Pool) Candidate(g *RequestState, now time.Duration) Candidate {
 	r := &g.Prompt
 	c := Candidate{Prompt: r, headroom: p.headroomFor(g.Class, now), longRunning: p.isLongRunningBelow(g.Class, r)}
 	c.sensitivity = g.Class.sensitivity(r)
@@ -92,19 +92,19 @@
 	}
 	p.findAffinity(&c, now)
 	c.prefillTime = p.uncachedPrefillTime(r, c.cached)
-	g.Unread = c.prefillTime
+	g.PrefillTime = c.prefillTime
 	c.backlogLimit = p.backlogLimit(g, now)
-	g.LongRead = p.exceedsGapLimit(p.typicalRunning(), c.prefillTime, r.Tokens)
-	c.longPrefill = g.LongRead
-	c.protected = g.Class.protected && !g.LongRead && p.waitsForDecode(g, now)
+	g.LongPrefill = p.exceedsGapLimit(p.typicalRunning(), c.prefillTime, r.Tokens)
+	c.longPrefill = g.LongPrefill
+	c.protected = g.Class.protected && !g.LongPrefill && p.waitsForDecode(g, now)
 	return c
 }
 
 // waitsForDecode reports whether a protected stream keeps waiting for a decode
 // engine. After a long wait it takes any engine, since it would be late on a
 // decode engine as well.
-func (p *Pool) waitsForDecode(g *Work, now time.Duration) bool {
-	return !g.Late && now-g.Since < g.Class.Target/decodeWaitDivisor-p.overhead
+func (p *Pool) waitsForDecode(g *RequestState, now time.Duration) bool {
+	return !g.Late && now-g.WaitingSince < g.Class.Target/decodeWaitDivisor-p.overhead
 }
 
 // bestOtherCache returns the engine, other than e, with the most cached tokens.
@@ -115,10 +115,10 @@
 	return c.bestCache, c.cached
 }
 
-// Takes reports whether an engine may be given a request now: it has the
+// Accepts reports whether an engine may be given a request now: it has the
 // memory, the first token is expected in time, and enough engines stay free for
 // more urgent classes.
-func (p *Pool) Takes(e *Engine, c *Candidate, now time.Duration) bool {
+func (p *Pool) Accepts(e *Engine, c *Candidate, now time.Duration) bool {
 	if e.Memory == 0 {
 		return true
 	}
@@ -141,14 +141,14 @@
 // backlogLimit returns the longest acceptable backlog of an engine for a
 // request. The time already waited is deducted, except for a late request, which
 // can't meet its target any more.
-func (p *Pool) backlogLimit(g *Work, now time.Duration) time.Duration {
+func (p *Pool) backlogLimit(g *RequestState, now time.Duration) time.Duration {
 	target := g.Class.Target
 	if target == 0 {
 		return maxBacklog
 	}
-	left := time.Duration(targetShare*float64(target)) - p.overhead - g.Unread
+	left := time.Duration(targetShare*float64(target)) - p.overhead - g.PrefillTime
 	if !g.Late && !p.isDisabled(WaitPatience) {
-		left -= now - g.Since
+		left -= now - g.WaitingSince
 	}
 	return min(max(left, minBacklog), maxBacklog)
 }
@@ -163,7 +163,7 @@
 	}
 	backlog := e.Backlog(now)
 	cost = backlog.Seconds() * p.prefillRate
-	if c.affinityEngine == e && e.Unread() < affinityMaxPrefills {
+	if c.affinityEngine == e && e.Prefilling() < affinityMaxPrefills {
 		cost -= affinityWeight * float64(c.affinityTokens)
 	}
 	if c.headroom.exceededBy(backlog, c.prefillTime) {
@@ -180,11 +180,11 @@
 		cost += violationPenalty.Seconds() * p.prefillRate * float64(e.protected)
 	}
 	if p.isDisabled(Disturbance) {
-		return cost * e.Sluggishness(), source
+		return cost * e.Slowdown(), source
 	}
 	cost += c.sensitivity * e.prefillLoad.valueAt(now) * interferencePenalty.Seconds() * p.prefillRate
 	cost += interferenceWeight * e.sensitivity * interferenceFactor(c.Tokens) * prefillCost(c.Tokens, cached)
-	return cost * e.Sluggishness(), source
+	return cost * e.Slowdown(), source
 }
 
 // recentlyPrefilled returns how many tokens after the cached ones were processed
--- a/internal/batching/class.go
+++ b/internal/batching/class.go
@@ -38,8 +38,8 @@
 	violationsPeak float64
 }
 
-// Stayed records how long a request of the class has run.
-func (q *Class) Stayed(d time.Duration) { q.runTime.Add(d.Seconds()) }
+// RecordRunTime records how long a request of the class has run.
+func (q *Class) RecordRunTime(d time.Duration) { q.runTime.Add(d.Seconds()) }
 
 // expectedStreams returns how many requests of the class will run at once if
 // they keep arriving at the present rate. At the start and in a burst, this is
--- a/internal/batching/decode.go
+++ b/internal/batching/decode.go
@@ -201,7 +201,7 @@
 // isLongRunning reports whether a request holds a slot for long or has a long
 // prefill.
 func isLongRunning(r *Prompt) bool {
-	return r.Answer >= longResponse || r.Tokens >= referencePrompt
+	return r.ResponseTokens >= longResponse || r.Tokens >= referencePrompt
 }
 
 // isLongRunningBelow reports whether a request is long-running and less urgent
--- a/internal/batching/engine.go
+++ b/internal/batching/engine.go
@@ -38,13 +38,13 @@
 	// Running is the number of running requests.
 	Running int
 	// Free reports whether one more request fits, Ejected whether the engine is
-	// temporarily excluded, and Paced whether its advertised rate limit admits no
-	// request at the moment. Sluggishness returns its slowdown relative to
-	// other engines.
-	Free         func(now time.Duration) bool
-	Ejected      func(now time.Duration) bool
-	Paced        func(now time.Duration) bool
-	Sluggishness func() float64
+	// temporarily excluded, and RateLimited whether its advertised rate limit
+	// admits no request at the moment. Slowdown returns its processing time
+	// relative to other engines.
+	Free        func(now time.Duration) bool
+	Ejected     func(now time.Duration) bool
+	RateLimited func(now time.Duration) bool
+	Slowdown    func() float64
 	// Decode engines accept no long requests that are less urgent than
 	// latency-sensitive streams.
 	Decode bool
@@ -56,7 +56,7 @@
 	// reservedMemory is the KV cache that running requests need in addition to the
 	// parts of their prompts, which several requests may share, in tokens.
 	reservedMemory int
-	parts          PartList
+	parts          PrefixCache
 	// prefillDoneAt is when the engine is expected to finish all its prefill.
 	prefillDoneAt time.Duration
 	// correction is the sum of all corrections of prefillDoneAt.
@@ -71,7 +71,7 @@
 	protected      int
 	// prefilling lists the requests without a first token, in the order of their
 	// grants.
-	prefilling []*Work
+	prefilling []*RequestState
 }
 
 // prefillRecord is the prefill of one prompt.
@@ -87,19 +87,20 @@
 	e.Name, e.hash = name, xxhash.Sum64String(name)
 }
 
-// Unread returns the number of running requests without a first token.
-func (e *Engine) Unread() int { return len(e.prefilling) }
+// Prefilling returns the number of running requests without a first token.
+func (e *Engine) Prefilling() int { return len(e.prefilling) }
 
-// Held returns the KV cache that running requests use, in tokens, including the
-// parts of their prompts.
-func (e *Engine) Held() int { return e.reservedMemory + e.parts.inUse }
+// MemoryInUse returns the KV cache that running requests use, in tokens, including
+// the parts of their prompts.
+func (e *Engine) MemoryInUse() int { return e.reservedMemory + e.parts.inUse }
 
 // Protected returns the number of running streams that long prefills would delay
 // too much.
 func (e *Engine) Protected() int { return e.protected }
 
-// Kept returns how many tokens from the start of a prompt the engine has cached.
-func (e *Engine) Kept(parts []Part) int { return e.parts.Cached(parts) }
+// CachedTokens returns how many tokens from the start of a prompt the engine has
+// cached.
+func (e *Engine) CachedTokens(parts []Part) int { return e.parts.Cached(parts) }
 
 // Backlog returns the expected time until the engine has finished its prefill.
 func (e *Engine) Backlog(now time.Duration) time.Duration {
@@ -114,7 +115,7 @@
 }
 
 // firstTokenDue returns when a request's first token is expected.
-func (e *Engine) firstTokenDue(g *Work) time.Duration {
+func (e *Engine) firstTokenDue(g *RequestState) time.Duration {
 	return g.firstTokenDue + e.correction - g.correctionAtGrant
 }
 
@@ -123,11 +124,11 @@
 	return e.parts.inUse+e.parts.newlyInUse(c.Parts)+e.reservedMemory+c.memory <= e.Memory
 }
 
-// Unbook records the end of a grant.
-func (e *Engine) Unbook(g *Work) {
-	e.Forget(g)
+// RecordRelease records the end of a grant.
+func (e *Engine) RecordRelease(g *RequestState) {
+	e.EndPrefill(g)
 	if g.reservedMemory > 0 {
-		e.parts.Leave(g.Prompt.Parts)
+		e.parts.Release(g.Prompt.Parts)
 	}
 	e.reservedMemory -= g.reservedMemory
 	e.sensitivity = max(0, e.sensitivity-g.sensitivity)
@@ -142,9 +143,9 @@
 	}
 }
 
-// Forget removes a request from those without a first token. It returns false if
+// EndPrefill removes a request from those without a first token. It returns false if
 // the request is not among them.
-func (e *Engine) Forget(g *Work) bool {
+func (e *Engine) EndPrefill(g *RequestState) bool {
 	for i, pending := range e.prefilling {
 		if pending == g {
 			e.prefilling = append(e.prefilling[:i], e.prefilling[i+1:]...)
@@ -166,11 +167,11 @@
 
 // longestPrefillSince returns the longest prefill, counting only what was still
 // to be done at time t.
-func (e *Engine) longestPrefillSince(t time.Duration) interference.Reading {
-	longest := interference.Reading{}
+func (e *Engine) longestPrefillSince(t time.Duration) interference.Prefill {
+	longest := interference.Prefill{}
 	for _, r := range e.recentPrefills {
 		if left := r.end - max(r.grantedAt, t); left > longest.Time {
-			longest = interference.Reading{Time: left, Slowdown: r.slowdown}
+			longest = interference.Prefill{Time: left, Slowdown: r.slowdown}
 		}
 	}
 	return longest
--- a/internal/batching/pool.go
+++ b/internal/batching/pool.go
@@ -78,38 +78,38 @@
 
 // FirstToken returns the expected time from the grant of a request to its first
 // token.
-func (p *Pool) FirstToken(g *Work) time.Duration { return p.overhead + g.Unread }
+func (p *Pool) FirstToken(g *RequestState) time.Duration { return p.overhead + g.PrefillTime }
 
 // Overhead returns the time from the end of prefill to the first token.
 func (p *Pool) Overhead() time.Duration { return p.overhead }
 
-// Arrived records the arrival of a request, whether or not it is admitted.
-func (p *Pool) Arrived(q *Class, r *Prompt, now time.Duration) {
+// RecordArrival records the arrival of a request, whether or not it is admitted.
+func (p *Pool) RecordArrival(q *Class, r *Prompt, now time.Duration) {
 	if q.arrivals.rate == 0 {
 		q.firstArrival = now
 	}
 	q.arrivals.add(now, time.Second)
 	q.meanSensitivity.Add(q.sensitivity(r))
-	q.meanResponse.Add(float64(r.Answer))
-	q.demand.add(now, p.ReadTime(r.Tokens))
+	q.meanResponse.Add(float64(r.ResponseTokens))
+	q.demand.add(now, p.PrefillTime(r.Tokens))
 }
 
-// ReadTime returns the prefill time of a prompt without cached parts.
-func (p *Pool) ReadTime(prompt int) time.Duration {
+// PrefillTime returns the prefill time of a prompt without cached parts.
+func (p *Pool) PrefillTime(prompt int) time.Duration {
 	return stat.Seconds(prefillCost(prompt, 0) / p.prefillRate)
 }
 
-// Weigh records the prefill that a request needs.
-func (p *Pool) Weigh(g *Work, now time.Duration) {
+// RecordPrefillDemand records the prefill that a request needs.
+func (p *Pool) RecordPrefillDemand(g *RequestState, now time.Duration) {
 	r := &g.Prompt
 	prefill := p.uncachedPrefillTime(r, p.mostCached(r))
-	g.Unread = prefill
+	g.PrefillTime = prefill
 	g.Class.meanPrefill.Add(prefill.Seconds())
 	p.countViolations(prefill, r.Tokens, now)
 	if !p.exceedsGapLimit(p.typicalRunning(), prefill, r.Tokens) {
 		return
 	}
-	g.LongRead = true
+	g.LongPrefill = true
 	if p.longPrefills.rate == 0 {
 		p.firstLongPrefill = now
 	}
@@ -119,32 +119,32 @@
 // Stream describes the timing of a completed response.
 type Stream struct {
 	Events int
-	// FirstToken is the time since the grant, Longest the longest gap.
-	FirstToken, Longest time.Duration
+	// FirstToken is the time since the grant, LongestGap the longest gap.
+	FirstToken, LongestGap time.Duration
 }
 
 // Observe updates the interference model with the timing of a response.
-func (p *Pool) Observe(g *Work, e *Engine, s Stream) {
-	if e.Memory == 0 || s.Longest == 0 {
+func (p *Pool) Observe(g *RequestState, e *Engine, s Stream) {
+	if e.Memory == 0 || s.LongestGap == 0 {
 		return
 	}
 	p.model.Observe(interference.Stream{
-		Events:  s.Events,
-		Longest: s.Longest,
-		Running: e.Running,
-		Beside:  e.longestPrefillSince(g.Granted + s.FirstToken),
+		Events:            s.Events,
+		LongestGap:        s.LongestGap,
+		Running:           e.Running,
+		ConcurrentPrefill: e.longestPrefillSince(g.Granted + s.FirstToken),
 	})
 }
 
-// Pace returns a request's time per token, corrected for the prefill and the
-// other requests that its engine processed at the same time.
-func (p *Pool) Pace(e *Engine, perToken float64, from, to time.Duration) float64 {
+// NormalizedTokenTime returns a request's time per token, corrected for the prefill
+// and the other requests that its engine processed at the same time.
+func (p *Pool) NormalizedTokenTime(e *Engine, perToken float64, from, to time.Duration) float64 {
 	if e.Memory == 0 {
 		return perToken
 	}
 	step := e.timeWithoutPrefill(perToken, from, to)
 	p.model.ObserveEvent(e.Running, stat.Seconds(step))
-	return step / (1 + p.model.PerRun()*float64(e.Running))
+	return step / (1 + p.model.SlowdownPerRequest()*float64(e.Running))
 }
 
 // isDisabled reports whether a mechanism is disabled.
--- a/internal/batching/prefill.go
+++ b/internal/batching/prefill.go
@@ -42,17 +42,17 @@
 
 // engineTime returns how long an engine takes for a prefill of the given cost.
 func (p *Pool) engineTime(e *Engine, cost float64) time.Duration {
-	return stat.Seconds(cost / p.prefillRate * e.Sluggishness() * p.decodeSlowdown(e))
+	return stat.Seconds(cost / p.prefillRate * e.Slowdown() * p.decodeSlowdown(e))
 }
 
 // decodeSlowdown returns the prefill time of an engine relative to one with the
 // mean number of running requests, since each step also decodes their tokens.
 func (p *Pool) decodeSlowdown(e *Engine) float64 {
-	full, mean := p.model.Full(), p.model.MeanEvent()
+	full, mean := p.model.MaxPrefill(), p.model.MeanEventTime()
 	if full == 0 || mean == 0 || p.isDisabled(DecodeSlowdown) {
 		return 1
 	}
-	return (full + p.model.Event(e.Running)).Seconds() / (full + mean).Seconds()
+	return (full + p.model.EventTime(e.Running)).Seconds() / (full + mean).Seconds()
 }
 
 // uncachedPrefillTime returns the prefill time of a prompt whose first tokens are
@@ -71,13 +71,13 @@
 	return most
 }
 
-// Book records a grant on the engine.
-func (p *Pool) Book(e *Engine, g *Work, now time.Duration) {
+// RecordGrant records a grant on the engine.
+func (p *Pool) RecordGrant(e *Engine, g *RequestState, now time.Duration) {
 	if e.Memory == 0 {
 		return
 	}
 	r := &g.Prompt
-	cached := max(e.parts.Cached(r.Parts), g.Fetched)
+	cached := max(e.parts.Cached(r.Parts), g.FetchedTokens)
 	g.prefillCost = prefillCost(r.Tokens, cached)
 	g.engineIdle = len(e.prefilling) == 0
 	g.reservedMemory = unsharedMemory(r)
@@ -96,7 +96,7 @@
 	g.firstTokenDue = e.prefillDoneAt + p.overhead
 	g.correctionAtGrant = e.correction
 	e.prefilling = append(e.prefilling, g)
-	e.parts.Take(r.Parts, e.Memory-e.reservedMemory)
+	e.parts.Acquire(r.Parts, e.Memory-e.reservedMemory)
 	for _, part := range r.Parts {
 		p.lastUse[part.ID] = now
 	}
@@ -109,12 +109,12 @@
 	for _, part := range r.Parts {
 		inParts += part.Tokens
 	}
-	return max(0, r.Tokens-inParts) + r.Answer
+	return max(0, r.Tokens-inParts) + r.ResponseTokens
 }
 
-// Begin records the first token of a request, which ends its prefill.
-func (p *Pool) Begin(e *Engine, g *Work, now time.Duration) {
-	if !e.Forget(g) {
+// RecordFirstToken records the first token of a request, which ends its prefill.
+func (p *Pool) RecordFirstToken(e *Engine, g *RequestState, now time.Duration) {
+	if !e.EndPrefill(g) {
 		return
 	}
 	late := now - e.firstTokenDue(g)
@@ -125,7 +125,7 @@
 
 // learnPrefill takes a sample of the overhead or the prefill rate from a request
 // whose engine had no other prefill.
-func (p *Pool) learnPrefill(e *Engine, g *Work, now time.Duration) {
+func (p *Pool) learnPrefill(e *Engine, g *RequestState, now time.Duration) {
 	took := now - g.Granted
 	switch {
 	case !g.engineIdle:
--- a/internal/batching/prefixcache.go
+++ b/internal/batching/prefixcache.go
@@ -2,10 +2,10 @@
 
 import "container/list"
 
-// PartList models the prefix cache of an engine. Parts that running requests
+// PrefixCache models the prefix cache of an engine. Parts that running requests
 // use are never evicted, the others in least-recently-used order. The zero
 // value is an empty cache.
-type PartList struct {
+type PrefixCache struct {
 	// idle lists the parts that no running request uses, the least recently used
 	// first.
 	idle *list.List
@@ -24,7 +24,7 @@
 }
 
 // Cached returns how many tokens from the start of a prompt are cached.
-func (l *PartList) Cached(parts []Part) int {
+func (l *PrefixCache) Cached(parts []Part) int {
 	n := 0
 	for _, p := range parts {
 		if l.byID[p.ID] == nil {
@@ -36,7 +36,7 @@
 }
 
 // newlyInUse returns by how much a prompt would increase the tokens in use.
-func (l *PartList) newlyInUse(parts []Part) int {
+func (l *PrefixCache) newlyInUse(parts []Part) int {
 	n := 0
 	for _, p := range parts {
 		if k := l.byID[p.ID]; k == nil || k.users == 0 {
@@ -46,9 +46,9 @@
 	return n
 }
 
-// Take adds a running request as user of the parts of its prompt, and evicts
+// Acquire adds a running request as user of the parts of its prompt, and evicts
 // idle parts until the cache fits into room tokens.
-func (l *PartList) Take(parts []Part, room int) {
+func (l *PrefixCache) Acquire(parts []Part, room int) {
 	if l.idle == nil {
 		l.idle = list.New()
 		l.byID = map[uint64]*cachedPart{}
@@ -75,8 +75,8 @@
 	}
 }
 
-// Leave removes a request as user of the parts of its prompt.
-func (l *PartList) Leave(parts []Part) {
+// Release removes a request as user of the parts of its prompt.
+func (l *PrefixCache) Release(parts []Part) {
 	for _, p := range parts {
 		k := l.byID[p.ID]
 		if k == nil || k.users == 0 {
--- a/internal/batching/protection.go
+++ b/internal/batching/protection.go
@@ -31,7 +31,7 @@
 	for _, q := range p.classes {
 		limit := q.gapLimit()
 		prefill := stat.Seconds(q.meanPrefill.Value)
-		if limit == 0 || p.model.MeanEvent()+prefill > limit || !p.mayProtect(q) {
+		if limit == 0 || p.model.MeanEventTime()+prefill > limit || !p.mayProtect(q) {
 			q.protected = false
 			continue
 		}
@@ -64,7 +64,7 @@
 // much prefill falls into an event, only the classes with the shortest promised
 // gap may be.
 func (p *Pool) mayProtect(q *Class) bool {
-	return p.model.Full() > 0 || q.Pause == p.shortestGap
+	return p.model.MaxPrefill() > 0 || q.Pause == p.shortestGap
 }
 
 // shortestAllowedGap returns the shortest gap promised by any class with
@@ -82,7 +82,7 @@
 // gapDuring returns the expected gap of a stream during the prefill of a
 // prompt, at a number of running requests.
 func (p *Pool) gapDuring(running int, prefill time.Duration, prompt int) time.Duration {
-	return p.model.Pause(running, interference.Reading{Time: prefill, Slowdown: attentionSlowdown(prompt)})
+	return p.model.ExpectedGap(running, interference.Prefill{Time: prefill, Slowdown: attentionSlowdown(prompt)})
 }
 
 // typicalRunning returns the number of requests assumed to run on a decode engine.
@@ -94,9 +94,9 @@
 	return p.minGapLimit > 0 && p.gapDuring(running, prefill, prompt) > p.minGapLimit
 }
 
-// Breaks reports whether a prefill makes gaps between events of protected classes
-// on an engine too long.
-func (p *Pool) Breaks(e *Engine, prefill time.Duration, prompt int) bool {
+// ExceedsGapLimit reports whether a prefill makes gaps between events of protected
+// classes on an engine too long.
+func (p *Pool) ExceedsGapLimit(e *Engine, prefill time.Duration, prompt int) bool {
 	return p.exceedsGapLimit(e.Running, prefill, prompt)
 }
 
--- a/internal/batching/sensitivity.go
+++ b/internal/batching/sensitivity.go
@@ -38,7 +38,7 @@
 		return 0
 	}
 	gapFactor := min(1, float64(insensitiveGap-q.Pause)/float64(insensitiveGap-sensitiveGap))
-	return gapFactor * min(1, float64(r.Answer)/longResponse)
+	return gapFactor * min(1, float64(r.ResponseTokens)/longResponse)
 }
 
 // interferenceFactor returns how strongly the prefill of a prompt delays the
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -124,7 +124,7 @@
 		Refresh:     d.beats.Refresh,
 	}
 	d.placer = placement.NewPlacer(d.clock, d.view, d.cells.Dial, d.metrics, size, s.Policy)
-	d.placer.OnAlone = d.coordinator.SetShare
+	d.placer.OnShareChange = d.coordinator.SetShare
 	d.owner = limit.NewOwner(d.clock, d.view.Self().ID)
 	d.limits = limit.NewKeeper(d.clock, d.view, d.askOwner, d.metrics)
 	d.claims = d.newClaims()
--- a/internal/dispatch/chat.go
+++ b/internal/dispatch/chat.go
@@ -277,7 +277,7 @@
 	if r.response.add(&chunk) {
 		r.tokens++
 		a.tokens++
-		a.grant.Token()
+		a.grant.RecordToken()
 	}
 	return nil
 }
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -58,7 +58,7 @@
 		return failedResult(readFailureReason(ctx, err), err)
 	}
 	verdict := r.f.Wire.Read(resp.StatusCode, resp.Header)
-	grant.Answered(verdict.Limit)
+	grant.RecordLimit(verdict.Limit)
 	if verdict.NotRun {
 		r.discard(x, resp)
 		return attemptResult{
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -118,7 +118,7 @@
 	r.f.Logger.Info("placed", "request", r.req.ID, "fingerprint", r.req.Fingerprint.String(), "class", r.req.Class, "account", r.req.Account, "endpoint", grant.Endpoint.Name,
 		"coordinator", grant.Coordinator(), "fetchFrom", fetchFrom, "attempt", r.mayHaveRun+r.notRun, "waitMs", waited.Milliseconds(),
 		"leftMs", (r.req.End - r.f.Boot.Now()).Milliseconds(), "promptTokens", r.req.PromptTokens,
-		"backlogMs", grant.Choice.Backlog.Milliseconds(), "unreadMs", grant.Choice.Unread.Milliseconds(), "decode", grant.Choice.Decode)
+		"backlogMs", grant.Choice.Backlog.Milliseconds(), "unreadMs", grant.Choice.PrefillTime.Milliseconds(), "decode", grant.Choice.Decode)
 }
 
 // recordAnswered records metrics and a log line for a response that was forwarded
@@ -162,7 +162,7 @@
 		"firstEventMs", r.firstEvent.Milliseconds(), "targetMs", r.req.Objective.Milliseconds(),
 		"longestPauseMs", pause.Milliseconds(), "longestPauseEvent", at, "pauseAllowedMs", r.req.Pause.Milliseconds(),
 		"waitMs", r.slotWait.Milliseconds(), "backlogMs", grant.Choice.Backlog.Milliseconds(),
-		"unreadMs", grant.Choice.Unread.Milliseconds(), "decode", grant.Choice.Decode, "promptTokens", r.req.PromptTokens)
+		"unreadMs", grant.Choice.PrefillTime.Milliseconds(), "decode", grant.Choice.Decode, "promptTokens", r.req.PromptTokens)
 }
 
 // recordFailure records a failed attempt.
@@ -196,7 +196,7 @@
 			EstimatedTokens: r.req.OutputTokens,
 			Parts:           r.req.Parts,
 			Waited:          r.f.Boot.Now() - r.req.Began,
-			Useful:          r.startLimit(),
+			StartTimeout:    r.startLimit(),
 			Excluded:        r.failed,
 			Attempt:         r.mayHaveRun + r.notRun,
 		})
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -93,7 +93,7 @@
 		if r.events++; r.events == 1 {
 			r.firstEvent = r.f.Clock.Since(r.began)
 		}
-		grant.Token()
+		grant.RecordToken()
 		out = append(out, event...)
 	}
 	if len(out) == 0 {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -148,8 +148,8 @@
 		Refresh:     g.beats.Refresh,
 	}
 	g.placer = placement.NewPlacer(g.clock, g.view, g.cells.Dial, g.metrics, size, g.conf().Policy)
-	g.placer.OnAlone = g.coordinator.SetShare
-	g.placer.OnReach = func(host membership.HostID, reached bool) {
+	g.placer.OnShareChange = g.coordinator.SetShare
+	g.placer.OnReachabilityChange = func(host membership.HostID, reached bool) {
 		if reached {
 			g.logger.Info("coordinator regained", "coordinator", host)
 			return
--- a/internal/interference/model.go
+++ b/internal/interference/model.go
@@ -23,8 +23,8 @@
 	minEvents = 5
 )
 
-// Reading is a period in which an engine processes prompts without a break.
-type Reading struct {
+// Prefill is a period in which an engine processes prompts without a break.
+type Prefill struct {
 	// Time is the length of the period.
 	Time time.Duration
 	// Slowdown is the processing time of a token at the end of the longest
@@ -35,12 +35,13 @@
 // Stream describes the timing of one completed response.
 type Stream struct {
 	Events int
-	// Longest is the longest gap between two events.
-	Longest time.Duration
+	// LongestGap is the longest gap between two events.
+	LongestGap time.Duration
 	// Running is the number of requests that ran on the engine.
 	Running int
-	// Beside is the longest prefill that ran on the engine at the same time.
-	Beside Reading
+	// ConcurrentPrefill is the longest prefill that ran on the engine at the same
+	// time.
+	ConcurrentPrefill Prefill
 }
 
 // Model holds the estimates for the engines of a pool. The zero value has no
@@ -61,51 +62,51 @@
 
 // Observe records the timing of a completed stream.
 func (m *Model) Observe(s Stream) {
-	base := m.Event(s.Running)
+	base := m.EventTime(s.Running)
 	// Only a prefill that outlasted the longest gap shows how much fits into
 	// an event; a shorter one ended within the event.
-	if s.Events < minEvents || base == 0 || s.Beside.Time <= s.Longest || s.Longest <= base {
+	if s.Events < minEvents || base == 0 || s.ConcurrentPrefill.Time <= s.LongestGap || s.LongestGap <= base {
 		return
 	}
-	m.maxPrefill.add((s.Longest-base).Seconds()/s.Beside.slowdown(), maxPrefillQuantile)
+	m.maxPrefill.add((s.LongestGap-base).Seconds()/s.ConcurrentPrefill.slowdown(), maxPrefillQuantile)
 }
 
-// Event returns the time of an event without concurrent prefill at a number of
+// EventTime returns the time of an event without concurrent prefill at a number of
 // running requests, or zero if it is unknown.
-func (m *Model) Event(running int) time.Duration {
+func (m *Model) EventTime(running int) time.Duration {
 	return seconds(m.eventTime.predict(float64(running)))
 }
 
-// MeanEvent returns Event at the mean number of running requests.
-func (m *Model) MeanEvent() time.Duration { return seconds(m.eventTime.predictAtMean()) }
+// MeanEventTime returns EventTime at the mean number of running requests.
+func (m *Model) MeanEventTime() time.Duration { return seconds(m.eventTime.predictAtMean()) }
 
-// PerRun returns the additional time of an event for each running request,
-// relative to the time of an event on an otherwise idle engine.
-func (m *Model) PerRun() float64 { return m.eventTime.slopeRatio() }
+// SlowdownPerRequest returns the additional time of an event for each running
+// request, relative to the time of an event on an otherwise idle engine.
+func (m *Model) SlowdownPerRequest() float64 { return m.eventTime.slopeRatio() }
 
-// Full returns the most prefill time that falls into an event, for tokens at
+// MaxPrefill returns the most prefill time that falls into an event, for tokens at
 // the start of a prompt, or zero if it is unknown.
-func (m *Model) Full() time.Duration {
+func (m *Model) MaxPrefill() time.Duration {
 	if m.maxPrefill.n < minSamples {
 		return 0
 	}
 	return seconds(m.maxPrefill.value)
 }
 
-// Pause returns the longest gap between events that a stream is expected to have
-// during a prefill, at a number of running requests.
-func (m *Model) Pause(running int, r Reading) time.Duration {
-	return m.Event(running) + m.prefillInEvent(r)
+// ExpectedGap returns the longest gap between events that a stream is expected to
+// have during a prefill, at a number of running requests.
+func (m *Model) ExpectedGap(running int, r Prefill) time.Duration {
+	return m.EventTime(running) + m.prefillInEvent(r)
 }
 
 // prefillInEvent returns how much of a prefill falls into one event.
-func (m *Model) prefillInEvent(r Reading) time.Duration {
-	if full := m.Full(); full > 0 {
+func (m *Model) prefillInEvent(r Prefill) time.Duration {
+	if full := m.MaxPrefill(); full > 0 {
 		return min(r.Time, time.Duration(float64(full)*r.slowdown()))
 	}
 	return r.Time
 }
 
-func (r Reading) slowdown() float64 { return max(1, r.Slowdown) }
+func (r Prefill) slowdown() float64 { return max(1, r.Slowdown) }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/interference/model_test.go
+++ b/internal/interference/model_test.go
@@ -19,7 +19,7 @@
 	if random.IntN(4) == 0 {
 		longest = e.baseEvent + time.Duration(random.Int64N(int64(longest)))
 	}
-	return Stream{Events: 20, Longest: longest, Running: 10, Beside: Reading{Time: prefill, Slowdown: slowdown}}
+	return Stream{Events: 20, LongestGap: longest, Running: 10, ConcurrentPrefill: Prefill{Time: prefill, Slowdown: slowdown}}
 }
 
 func (e engine) train(m *Model, streams int) {
@@ -34,7 +34,7 @@
 // must then count as a gap of its whole length.
 func TestUntrainedModelExpectsGapOfWholePrefill(t *testing.T) {
 	m := &Model{}
-	if got := m.Pause(10, Reading{Time: 300 * ms}); got != 300*ms {
+	if got := m.ExpectedGap(10, Prefill{Time: 300 * ms}); got != 300*ms {
 		t.Errorf("expected gap during a prefill of 300ms is %v", got)
 	}
 }
@@ -47,13 +47,13 @@
 		m := &Model{}
 		e.train(m, 600)
 		want := e.baseEvent + e.maxPrefill
-		if got := m.Pause(10, Reading{Time: time.Second}); got < want*9/10 || got > want*11/10 {
+		if got := m.ExpectedGap(10, Prefill{Time: time.Second}); got < want*9/10 || got > want*11/10 {
 			t.Errorf("%v: expected gap during a long prefill is %v, want %v", e, got, want)
 		}
-		if got := m.Pause(10, Reading{Time: e.maxPrefill / 2}); got < (e.baseEvent+e.maxPrefill/2)*9/10 || got > (e.baseEvent+e.maxPrefill/2)*11/10 {
+		if got := m.ExpectedGap(10, Prefill{Time: e.maxPrefill / 2}); got < (e.baseEvent+e.maxPrefill/2)*9/10 || got > (e.baseEvent+e.maxPrefill/2)*11/10 {
 			t.Errorf("%v: expected gap during a prefill of half an event's maximum is %v", e, got)
 		}
-		if long := m.Pause(10, Reading{Time: time.Second, Slowdown: 2}); long < e.baseEvent+e.maxPrefill*18/10 {
+		if long := m.ExpectedGap(10, Prefill{Time: time.Second, Slowdown: 2}); long < e.baseEvent+e.maxPrefill*18/10 {
 			t.Errorf("%v: expected gap at the end of a very long prompt is %v", e, long)
 		}
 	}
@@ -65,12 +65,12 @@
 	e := engine{20 * ms, 100 * ms}
 	m := &Model{}
 	e.train(m, 600)
-	before := m.Full()
+	before := m.MaxPrefill()
 	for range 200 {
-		m.Observe(Stream{Events: 20, Longest: 3 * time.Second, Running: 10, Beside: Reading{Time: 200 * ms}})
+		m.Observe(Stream{Events: 20, LongestGap: 3 * time.Second, Running: 10, ConcurrentPrefill: Prefill{Time: 200 * ms}})
 	}
-	if m.Full() != before {
-		t.Errorf("most prefill time per event is %v, was %v", m.Full(), before)
+	if m.MaxPrefill() != before {
+		t.Errorf("most prefill time per event is %v, was %v", m.MaxPrefill(), before)
 	}
 }
 
@@ -85,7 +85,7 @@
 			noise := 0.9 + random.Float64()/5
 			m.ObserveEvent(n, time.Duration(float64(20*ms)*(1+perRun*float64(n))*noise))
 		}
-		if got := m.PerRun(); got < perRun*0.7-0.002 || got > perRun*1.3+0.002 {
+		if got := m.SlowdownPerRequest(); got < perRun*0.7-0.002 || got > perRun*1.3+0.002 {
 			t.Errorf("slowdown per running request is %.4f, want %.4f", got, perRun)
 		}
 	}
@@ -98,7 +98,7 @@
 	for range 100 {
 		m.ObserveEvent(7, 20*ms)
 	}
-	if m.PerRun() != 0 || m.Event(50) < 19*ms || m.Event(50) > 21*ms {
-		t.Errorf("slowdown per running request is %v, event time at 50 requests is %v", m.PerRun(), m.Event(50))
+	if m.SlowdownPerRequest() != 0 || m.EventTime(50) < 19*ms || m.EventTime(50) > 21*ms {
+		t.Errorf("slowdown per running request is %v, event time at 50 requests is %v", m.SlowdownPerRequest(), m.EventTime(50))
 	}
 }
--- a/internal/placement/cluster_test.go
+++ b/internal/placement/cluster_test.go
@@ -94,7 +94,7 @@
 		n.coordinator = cell.NewCoordinator(s.clock, id, cellSize, settings.PolicyCells)
 		n.view.OnGone = func(h membership.Host) { n.coordinator.DropHost(string(h.ID), h.Incarnation) }
 		n.placer = NewPlacer(s.clock, n.view, n.dial, n.metrics, cellSize, settings.PolicyCells)
-		n.placer.OnAlone = n.coordinator.SetShare
+		n.placer.OnShareChange = n.coordinator.SetShare
 		n.coordinator.Configure(tbl)
 		n.placer.Configure(tbl)
 		s.nodes = append(s.nodes, n)
--- a/internal/placement/grant.go
+++ b/internal/placement/grant.go
@@ -12,7 +12,7 @@
 type Report struct {
 	Outcome peerv1.ReleaseOutcome
 	// FirstToken and Duration are measured from the grant. FirstToken is not
-	// needed if Grant.Token was called.
+	// needed if Grant.RecordToken was called.
 	FirstToken time.Duration
 	Duration   time.Duration
 	Tokens     int
@@ -22,8 +22,8 @@
 // log.
 type Choice struct {
 	// Backlog is the expected time until the endpoint has finished its earlier
-	// prefill, Unread the expected prefill time of this prompt.
-	Backlog, Unread time.Duration
+	// prefill, PrefillTime the expected prefill time of this prompt.
+	Backlog, PrefillTime time.Duration
 	// Decode means that the endpoint is reserved for streams that long prefills
 	// would delay.
 	Decode bool
@@ -83,8 +83,8 @@
 	progressFactor = 4
 )
 
-// Token records the arrival of a token.
-func (g *Grant) Token() {
+// RecordToken records the arrival of a token.
+func (g *Grant) RecordToken() {
 	g.tokens++
 	now := g.placer.clock.Now()
 	if gap := now.Sub(g.lastTokenAt); g.tokens > 1 && gap > g.longestGap {
--- a/internal/placement/limits.go
+++ b/internal/placement/limits.go
@@ -28,8 +28,8 @@
 	PerSecond float64
 }
 
-// NamedLimit returns the limit for a rate that an endpoint advertises.
-func NamedLimit(perSecond float64) Limit {
+// AdvertisedLimit returns the limit for a rate that an endpoint advertises.
+func AdvertisedLimit(perSecond float64) Limit {
 	if math.IsNaN(perSecond) || math.IsInf(perSecond, 0) || perSecond < 0 {
 		return Limit{}
 	}
@@ -43,8 +43,8 @@
 	at        time.Time
 }
 
-// Answered records the limit that a response of the endpoint advertises.
-func (g *Grant) Answered(l Limit) {
+// RecordLimit records the limit that a response of the endpoint advertises.
+func (g *Grant) RecordLimit(l Limit) {
 	if !l.Known {
 		return
 	}
--- a/internal/placement/limits_test.go
+++ b/internal/placement/limits_test.go
@@ -96,9 +96,9 @@
 	}
 	limit := Limit{Known: true}
 	if c.perSecond > 0 {
-		limit = NamedLimit(c.perSecond)
+		limit = AdvertisedLimit(c.perSecond)
 	}
-	done.grant.Answered(limit)
+	done.grant.RecordLimit(limit)
 	done.grant.Release(released)
 }
 
--- a/internal/placement/link.go
+++ b/internal/placement/link.go
@@ -186,7 +186,7 @@
 		s.backoff = min(2*s.backoff, maxSuspicion)
 	}
 	if s.backoff == firstSuspicion {
-		p.OnReach(id, false)
+		p.OnReachabilityChange(id, false)
 	}
 	s.until = p.clock.Now().Add(s.backoff)
 	s.retried = false
@@ -231,7 +231,7 @@
 	if p.isSuspect(l.host.ID) {
 		delete(p.suspects, l.host.ID)
 		p.rankingChanged = true
-		p.OnReach(l.host.ID, true)
+		p.OnReachabilityChange(l.host.ID, true)
 	}
 }
 
@@ -249,9 +249,9 @@
 	}
 	w.endpoint = name
 	w.answer <- answer{endpoint: name, fetchFrom: table.EndpointName(g.GetFetchFrom()), choice: Choice{
-		Backlog: time.Duration(g.GetBacklogMs()) * time.Millisecond,
-		Unread:  time.Duration(g.GetUnreadMs()) * time.Millisecond,
-		Decode:  g.GetDecode(),
+		Backlog:     time.Duration(g.GetBacklogMs()) * time.Millisecond,
+		PrefillTime: time.Duration(g.GetUnreadMs()) * time.Millisecond,
+		Decode:      g.GetDecode(),
 	}}
 }
 
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -31,9 +31,9 @@
 	Parts []Part
 	// Waited is how long the request has waited in earlier attempts.
 	Waited time.Duration
-	// Useful is the time from the arrival of the request within which a response
-	// must begin to be of use to the caller; zero means unknown.
-	Useful time.Duration
+	// StartTimeout is the time from the arrival of the request within which a
+	// response must begin to be of use to the caller; zero means unknown.
+	StartTimeout time.Duration
 	// Excluded lists endpoints that have failed this request.
 	Excluded []table.EndpointName
 	Attempt  int
@@ -67,13 +67,14 @@
 	metrics *metric.Registry
 	size    int
 	policy  settings.Policy
-	// OnAlone is called when this daemon starts or stops deciding alone, with
+	// OnShareChange is called when this daemon starts or stops deciding alone, with
 	// the number of hosts among which the endpoints are divided; 1 means that
 	// this daemon may use them fully. It must be set before the placer is used.
-	OnAlone func(share int)
-	// OnReach is called, with the placer's lock held, when a coordinator is
-	// skipped because it does not respond, and when it responds again.
-	OnReach func(host membership.HostID, reached bool)
+	OnShareChange func(share int)
+	// OnReachabilityChange is called, with the placer's lock held, when a
+	// coordinator is skipped because it does not respond, and when it responds
+	// again.
+	OnReachabilityChange func(host membership.HostID, reached bool)
 	// OnLimit is called, with the placer's lock held, when an endpoint
 	// advertises a changed limit, in requests per second; zero means none.
 	OnLimit func(endpoint table.EndpointName, perSecond float64)
@@ -133,23 +134,23 @@
 // NewPlacer returns a placer without a table.
 func NewPlacer(clock clockwork.Clock, view *membership.View, dial Dial, metrics *metric.Registry, size int, policy settings.Policy) *Placer {
 	return &Placer{
-		clock:     clock,
-		view:      view,
-		dial:      dial,
-		metrics:   metrics,
-		size:      size,
-		share:     1,
-		policy:    policy,
-		OnAlone:   func(int) {},
-		OnReach:   func(membership.HostID, bool) {},
-		OnLimit:   func(table.EndpointName, float64) {},
-		ranking:   cell.NewRanking(),
-		links:     map[membership.HostID]*hostLink{},
-		suspects:  map[membership.HostID]*suspicion{},
-		pending:   map[uint64]*pending{},
-		unsettled: map[membership.HostID]bool{},
-		pressures: map[cell.ID]pressure{},
-		limits:    map[table.EndpointName]observedLimit{},
+		clock:                clock,
+		view:                 view,
+		dial:                 dial,
+		metrics:              metrics,
+		size:                 size,
+		share:                1,
+		policy:               policy,
+		OnShareChange:        func(int) {},
+		OnReachabilityChange: func(membership.HostID, bool) {},
+		OnLimit:              func(table.EndpointName, float64) {},
+		ranking:              cell.NewRanking(),
+		links:                map[membership.HostID]*hostLink{},
+		suspects:             map[membership.HostID]*suspicion{},
+		pending:              map[uint64]*pending{},
+		unsettled:            map[membership.HostID]bool{},
+		pressures:            map[cell.ID]pressure{},
+		limits:               map[table.EndpointName]observedLimit{},
 
 		coordinators: map[cell.ID]membership.Host{},
 	}
@@ -234,7 +235,7 @@
 		EstimatedTokens: uint32(r.EstimatedTokens),
 		Prefix:          r.Prefix,
 		WaitedMs:        uint32(r.Waited / time.Millisecond),
-		UsefulMs:        uint32(r.Useful / time.Millisecond),
+		UsefulMs:        uint32(r.StartTimeout / time.Millisecond),
 		Attempt:         uint32(r.Attempt),
 		Zone:            p.view.Self().Zone,
 	}
--- a/internal/placement/reassign.go
+++ b/internal/placement/reassign.go
@@ -38,7 +38,7 @@
 	share, changed := p.updateShare()
 	p.mu.Unlock()
 	if changed {
-		p.OnAlone(share)
+		p.OnShareChange(share)
 	}
 }
 
--- a/internal/schedule/batch_test.go
+++ b/internal/schedule/batch_test.go
@@ -36,7 +36,7 @@
 type simEngine struct {
 	rate  float64
 	ready time.Duration
-	parts batching.PartList
+	parts batching.PrefixCache
 }
 
 type simRequest struct {
@@ -113,8 +113,8 @@
 		s.recomputed += shared.Tokens
 	}
 	s.lastRead[shared.ID] = s.now
-	e.parts.Take(r.request.Parts, 600_000)
-	e.parts.Leave(r.request.Parts)
+	e.parts.Acquire(r.request.Parts, 600_000)
+	e.parts.Release(r.request.Parts)
 	e.ready = max(e.ready, s.now) + time.Duration(float64(r.request.PromptTokens-has)/e.rate*float64(time.Second))
 	at := e.ready + simOverhead
 	id, began, granted := d.ID, r.arrived, s.now
@@ -281,8 +281,8 @@
 		})
 	}
 	e := s.cell.endpoints["e00"]
-	if e.Unread() != 1 || e.Held() != 2*7100 {
-		t.Errorf("%d requests without a first token, want 1; %d tokens held, want %d", e.Unread(), e.Held(), 2*7100)
+	if e.Prefilling() != 1 || e.MemoryInUse() != 2*7100 {
+		t.Errorf("%d requests without a first token, want 1; %d tokens held, want %d", e.Prefilling(), e.MemoryInUse(), 2*7100)
 	}
 }
 
@@ -293,7 +293,7 @@
 	for i := range 12 {
 		s.arrive("long", "a", uint64(i), 50_000, 5_000)
 	}
-	if held := s.cell.endpoints["e00"].Held(); held > 600_000 {
+	if held := s.cell.endpoints["e00"].MemoryInUse(); held > 600_000 {
 		t.Errorf("%d tokens are held, memory is 600000", held)
 	}
 	if s.cell.waiting == 0 {
@@ -312,7 +312,7 @@
 		s.arrive("long", "a", 7, 20_000, 100)
 		s.advance(100*time.Millisecond, func() {})
 	}
-	if n := s.cell.endpoints["e00"].Kept([]Part{{ID: 5, Tokens: 20_000}}); n == 0 {
+	if n := s.cell.endpoints["e00"].CachedTokens([]Part{{ID: 5, Tokens: 20_000}}); n == 0 {
 		t.Error("a cached part is considered evicted")
 	}
 	if s.cell.waiting > 0 {
--- a/internal/schedule/endpoint.go
+++ b/internal/schedule/endpoint.go
@@ -30,8 +30,8 @@
 	e := &endpointState{}
 	e.Free = e.hasFreeSlot
 	e.Ejected = e.health.ejected
-	e.Paced = e.limit.throttled
-	e.Sluggishness = func() float64 { return c.batchingSlowness(&e.health) }
+	e.RateLimited = e.limit.throttled
+	e.Slowdown = func() float64 { return c.batchingSlowness(&e.health) }
 	return e
 }
 
@@ -109,7 +109,7 @@
 	}
 	p := batching.Candidate{Prompt: &g.Prompt}
 	if c.pool.Batches() {
-		p = c.pool.Candidate(&g.Work, now)
+		p = c.pool.Candidate(&g.RequestState, now)
 	}
 	if preferred := c.prefixes.get(r.Prefix); preferred != nil && c.withinAffinityBound(preferred) && c.usable(preferred, r, &p, now) {
 		return preferred, nil
@@ -128,7 +128,7 @@
 }
 
 func (c *Cell) usable(e *endpointState, r *Request, p *batching.Candidate, now time.Duration) bool {
-	return e.hasFreeSlot(now) && c.pool.Takes(&e.Engine, p, now) && (len(r.Excluded) == 0 || !slices.Contains(r.Excluded, e.policy.Name))
+	return e.hasFreeSlot(now) && c.pool.Accepts(&e.Engine, p, now) && (len(r.Excluded) == 0 || !slices.Contains(r.Excluded, e.policy.Name))
 }
 
 // placementCost returns the cost of running a request on an endpoint; the lowest
--- a/internal/schedule/health.go
+++ b/internal/schedule/health.go
@@ -63,7 +63,7 @@
 	// per token of the prompt; both in seconds.
 	tokenTime, ttft stat.Mean
 	// adjustedTokenTime is tokenTime corrected for the load of the engine; it is
-	// used to detect stragglers. See batching.Pool.Pace.
+	// used to detect stragglers. See batching.Pool.NormalizedTokenTime.
 	adjustedTokenTime stat.Mean
 	// consecutiveFailures counts failures in a row, failureRate is the recent
 	// share of failed requests, and outcomes counts the outcomes in it.
@@ -223,7 +223,7 @@
 	if p.Tokens > 1 && p.Elapsed > p.FirstToken {
 		perToken := (p.Elapsed - p.FirstToken).Seconds() / float64(p.Tokens-1)
 		h.tokenTime.Add(perToken)
-		h.adjustedTokenTime.Add(c.pool.Pace(&e.Engine, perToken, now-(p.Elapsed-p.FirstToken), now))
+		h.adjustedTokenTime.Add(c.pool.NormalizedTokenTime(&e.Engine, perToken, now-(p.Elapsed-p.FirstToken), now))
 	}
 	if h.reason == EjectedSlow {
 		c.evaluateProbe(e, now)
--- a/internal/schedule/heap.go
+++ b/internal/schedule/heap.go
@@ -25,10 +25,10 @@
 
 // before reports whether a is ordered before b.
 func (h *entryHeap) before(a, b *entry) bool {
-	if a.Since == b.Since {
+	if a.WaitingSince == b.WaitingSince {
 		return (a.arrival < b.arrival) != (h.kind == youngestHeap)
 	}
-	return (a.Since < b.Since) != (h.kind == youngestHeap)
+	return (a.WaitingSince < b.WaitingSince) != (h.kind == youngestHeap)
 }
 
 func (h *entryHeap) first() *entry {
--- a/internal/schedule/interference_test.go
+++ b/internal/schedule/interference_test.go
@@ -89,11 +89,11 @@
 	for range 30 {
 		_, e := c.ask("quick", 2000, 300)
 		if e != "" {
-			given[e] += c.pool.ReadTime(2000)
+			given[e] += c.pool.PrefillTime(2000)
 		}
 	}
 	for e, read := range given {
-		if c.decodeNames()[e] && c.pool.Breaks(&c.endpoints[e].Engine, read, 2000) {
+		if c.decodeNames()[e] && c.pool.ExceedsGapLimit(&c.endpoints[e].Engine, read, 2000) {
 			t.Errorf("%s was granted prompts with a prefill time of %v at once", e, read)
 		}
 	}
--- a/internal/schedule/order.go
+++ b/internal/schedule/order.go
@@ -39,7 +39,7 @@
 		if e == nil {
 			break
 		}
-		if e.LongRead && e.class.longPrefillBlocked {
+		if e.LongPrefill && e.class.longPrefillBlocked {
 			c.skip(e, now)
 			continue
 		}
@@ -67,7 +67,7 @@
 func (c *Cell) deferBlocked(e *entry, now time.Duration) {
 	q := e.class
 	c.deferEntry(e)
-	if c.pool.Batches() && e.LongRead {
+	if c.pool.Batches() && e.LongPrefill {
 		q.longPrefillBlocked = true
 		return
 	}
@@ -172,14 +172,14 @@
 	q.tier.grantRate.add(now)
 	q.unserved = false
 	q.counters.granted++
-	q.counters.longestWait = max(q.counters.longestWait, now-e.Since)
+	q.counters.longestWait = max(q.counters.longestWait, now-e.WaitingSince)
 	e.aged = aged
 	d := Decision{
 		ID: e.request.ID, Endpoint: to.policy.Name,
-		PrefillBacklog: to.Backlog(now), PrefillTime: e.Unread, Decode: to.Decode,
+		PrefillBacklog: to.Backlog(now), PrefillTime: e.PrefillTime, Decode: to.Decode,
 	}
 	if source != nil {
-		e.Fetched = source.Kept(e.request.Parts)
+		e.FetchedTokens = source.CachedTokens(e.request.Parts)
 		d.FetchFrom = Endpoint(source.Name)
 	}
 	c.startGrant(e, to, now)
@@ -195,7 +195,7 @@
 	to.Running++
 	to.load.peakRunning = max(to.load.peakRunning, to.Running)
 	to.outstanding += e.work
-	c.pool.Book(&to.Engine, &e.Work, now)
+	c.pool.RecordGrant(&to.Engine, &e.RequestState, now)
 	c.running++
 	e.endpoint = to
 	e.Granted = now
@@ -209,7 +209,7 @@
 func (c *Cell) endGrant(e *entry) {
 	e.endpoint.Running--
 	e.endpoint.outstanding = max(0, e.endpoint.outstanding-e.work)
-	e.endpoint.Unbook(&e.Work)
+	e.endpoint.RecordRelease(&e.RequestState)
 	c.running--
 	e.class.Running--
 	if e.aged {
--- a/internal/schedule/preempt.go
+++ b/internal/schedule/preempt.go
@@ -53,7 +53,7 @@
 // preempt others.
 func (t *tierQueue) preemptionDue(now time.Duration) bool {
 	for _, q := range t.classes {
-		if e := q.oldest.first(); e != nil && now-e.Since >= q.policy.FirstTokenTarget/preemptDelayDivisor {
+		if e := q.oldest.first(); e != nil && now-e.WaitingSince >= q.policy.FirstTokenTarget/preemptDelayDivisor {
 			return true
 		}
 	}
--- a/internal/schedule/queue.go
+++ b/internal/schedule/queue.go
@@ -8,10 +8,10 @@
 
 // entry is a waiting or running request. Entries are reused.
 type entry struct {
-	// Work is the state of the request in the engine pool. Since and Granted are
-	// relative to the start of the cell; a late entry is in the late heap of its
-	// class.
-	batching.Work
+	// RequestState is the state of the request in the engine pool. WaitingSince
+	// and Granted are relative to the start of the cell; a late entry is in the
+	// late heap of its class.
+	batching.RequestState
 	request Request
 	class   *classQueue
 	account *accountQueue
@@ -255,7 +255,7 @@
 			return q.late.first()
 		}
 		e := a.entries.first()
-		if q.policy.FirstTokenTarget == 0 || now-e.Since+lead(e) < q.policy.FirstTokenTarget {
+		if q.policy.FirstTokenTarget == 0 || now-e.WaitingSince+lead(e) < q.policy.FirstTokenTarget {
 			return e
 		}
 		q.removeFromAccount(e)
@@ -274,7 +274,7 @@
 func (c *Cell) leadTime(e *entry) time.Duration {
 	expected := time.Duration(c.ttftPerToken.Value * float64(e.request.PromptTokens+ttftPromptOffset) * float64(time.Second))
 	if c.pool.Batches() {
-		expected = c.pool.FirstToken(&e.Work)
+		expected = c.pool.FirstToken(&e.RequestState)
 	}
 	return min(time.Duration(leadTimeFactor*float64(expected)), e.class.policy.FirstTokenTarget/2)
 }
@@ -314,6 +314,6 @@
 	if q.waiting() == 0 || q.policy.MaxWait == 0 {
 		return 0, false
 	}
-	by = now - q.oldest.first().Since - q.policy.MaxWait
+	by = now - q.oldest.first().WaitingSince - q.policy.MaxWait
 	return by, by >= 0
 }
--- a/internal/schedule/request.go
+++ b/internal/schedule/request.go
@@ -27,12 +27,12 @@
 	}
 	if c.pool.Batches() {
 		p := r.prompt()
-		c.pool.Arrived(&q.Class, &p, now)
+		c.pool.RecordArrival(&q.Class, &p, now)
 	}
 	e := c.newEntry(r, now)
 	e.setClass(q)
 	if c.pool.Batches() {
-		c.pool.Weigh(&e.Work, now)
+		c.pool.RecordPrefillDemand(&e.RequestState, now)
 	}
 	if c.discipline != ByTier {
 		e.request.Account = ""
@@ -44,7 +44,7 @@
 
 // prompt returns the parts of the request that matter to the engine pool.
 func (r *Request) prompt() batching.Prompt {
-	return batching.Prompt{Tokens: r.PromptTokens, Answer: r.EstimatedTokens, Parts: r.Parts, Zone: r.Zone}
+	return batching.Prompt{Tokens: r.PromptTokens, ResponseTokens: r.EstimatedTokens, Parts: r.Parts, Zone: r.Zone}
 }
 
 // setClass sets the class of an entry that is neither queued nor running yet.
@@ -91,10 +91,10 @@
 	}
 	c.arrivals++
 	*e = entry{
-		Work:    batching.Work{Prompt: r.prompt(), Since: now - r.Waited},
-		request: r,
-		arrival: c.arrivals,
-		work:    estimateWork(r.PromptTokens, r.EstimatedTokens),
+		RequestState: batching.RequestState{Prompt: r.prompt(), WaitingSince: now - r.Waited},
+		request:      r,
+		arrival:      c.arrivals,
+		work:         estimateWork(r.PromptTokens, r.EstimatedTokens),
 	}
 	c.entries[r.ID] = e
 	return e
@@ -155,7 +155,7 @@
 	c.startGrant(e, to, now)
 	e.adopted = true
 	if h.FirstTokenReceived {
-		to.Forget(&e.Work)
+		to.EndPrefill(&e.RequestState)
 	}
 }
 
@@ -184,10 +184,10 @@
 		c.recordSpeed(e, Progress{FirstToken: r.FirstToken, Tokens: r.Tokens, Elapsed: r.Duration}, now)
 	}
 	if r.Done {
-		c.pool.Observe(&e.Work, &e.endpoint.Engine, batching.Stream{Events: r.Tokens, FirstToken: r.FirstToken, Longest: r.LongestGap})
+		c.pool.Observe(&e.RequestState, &e.endpoint.Engine, batching.Stream{Events: r.Tokens, FirstToken: r.FirstToken, LongestGap: r.LongestGap})
 	}
 	if r.Done && r.Tokens > 0 {
-		e.class.Stayed(r.Duration)
+		e.class.RecordRunTime(r.Duration)
 		c.estimates.Observe(e.request.Class, e.request.Account, e.request.EstimatedTokens, r.Tokens)
 		c.meanWork.Add(estimateWork(e.request.PromptTokens, r.Tokens))
 	}
@@ -205,7 +205,7 @@
 	now := c.now()
 	c.recordSuccess(e.endpoint, now)
 	c.recordSpeed(e, p, now)
-	c.pool.Begin(&e.endpoint.Engine, &e.Work, now)
+	c.pool.RecordFirstToken(&e.endpoint.Engine, &e.RequestState, now)
 }
 
 func (c *Cell) refuseArrival(q *classQueue, id RequestID, why Refusal, now time.Duration) {
--- a/internal/schedule/shed.go
+++ b/internal/schedule/shed.go
@@ -129,7 +129,7 @@
 	}
 	// The oldest entry is at index 0 of the heap, the second oldest at 1 or 2.
 	for i := 1; i < min(3, q.waiting()); i++ {
-		if e := q.oldest.items[i]; now-e.Since > limit {
+		if e := q.oldest.items[i]; now-e.WaitingSince > limit {
 			return e
 		}
 	}
--- a/internal/schedule/status.go
+++ b/internal/schedule/status.go
@@ -107,7 +107,7 @@
 		LongestWaitMS: q.counters.longestWait.Milliseconds(),
 	}
 	if e := q.oldest.first(); e != nil {
-		s.OldestWaitMS = (now - e.Since).Milliseconds()
+		s.OldestWaitMS = (now - e.WaitingSince).Milliseconds()
 	}
 	return s
 }
--- a/internal/schedule/toolate.go
+++ b/internal/schedule/toolate.go
@@ -38,9 +38,9 @@
 	if startTimeout == 0 {
 		return false
 	}
-	begins := now - e.Since + transitTime
+	begins := now - e.WaitingSince + transitTime
 	if c.pool.Batches() {
-		begins += c.pool.FirstToken(&e.Work)
+		begins += c.pool.FirstToken(&e.RequestState)
 	}
 	return begins > startTimeout
 }
