--- a/internal/cell/orphans.go
+++ b/internal/cell/orphans.go
@@ -16,7 +16,7 @@
 	orphanTimeout = 3 * time.Second
 )
 
-// Sweep drops the grants and waiting requests of daemon incarnations that have
+// DropOrphans drops the grants and waiting requests of daemon incarnations that have
 // terminated. It returns how many it has dropped, counted once per cell. The
 // function alive returns the hosts that are alive.
 //
@@ -26,7 +26,7 @@
 // without a first token also makes its engine appear further behind with every
 // second, until it gets no requests any more. Handling events alone can't
 // prevent this, so the state is compared with the membership view periodically.
-func (c *Coordinator) Sweep(alive func() *membership.Snapshot) int {
+func (c *Coordinator) DropOrphans(alive func() *membership.Snapshot) int {
 	c.mu.Lock()
 	now := c.clock.Now()
 	if now.Sub(c.lastSweep) < sweepInterval {
--- a/internal/cell/orphans_test.go
+++ b/internal/cell/orphans_test.go
@@ -72,8 +72,8 @@
 }
 
 // As above, but the batch opens a new session, so it can't be told apart from a
-// batch of a running daemon. Sweep must free the slot of a terminated daemon
-// within seconds, and keep that of a daemon that may still be running.
+// batch of a running daemon. DropOrphans must free the slot of a terminated
+// daemon within seconds, and keep that of a daemon that may still be running.
 func TestOrphansAreDropped(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -102,11 +102,11 @@
 				s.entry.Incarnation = tt.alive
 				alive = append(alive, s.entry)
 			}
-			dropped := s.Sweep(func() *membership.Snapshot { return membership.NewSnapshot(alive) })
+			dropped := s.DropOrphans(func() *membership.Snapshot { return membership.NewSnapshot(alive) })
 			if s.running() != tt.want || dropped != 1-tt.want {
 				t.Errorf("%d slots in use and %d incarnations dropped, want %d in use", s.running(), dropped, tt.want)
 			}
-			if again := s.Sweep(func() *membership.Snapshot { return membership.NewSnapshot(alive) }); again != 0 {
+			if again := s.DropOrphans(func() *membership.Snapshot { return membership.NewSnapshot(alive) }); again != 0 {
 				t.Error("second sweep ran before sweepInterval had passed")
 			}
 		})
--- a/internal/cell/status.go
+++ b/internal/cell/status.go
@@ -10,11 +10,11 @@
 // Status is the status of the cells that this daemon coordinates, as shown to
 // operators.
 type Status struct {
-	Cells []OneStatus `json:"cells"`
+	Cells []StatusEntry `json:"cells"`
 }
 
-// OneStatus is the status of one cell.
-type OneStatus struct {
+// StatusEntry is the status of one cell.
+type StatusEntry struct {
 	Cell ID `json:"cell"`
 	schedule.CellStatus
 }
@@ -23,10 +23,10 @@
 func (c *Coordinator) Status() Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := Status{Cells: []OneStatus{}}
+	s := Status{Cells: []StatusEntry{}}
 	for id, cell := range c.cells {
-		s.Cells = append(s.Cells, OneStatus{Cell: id, CellStatus: cell.Status()})
+		s.Cells = append(s.Cells, StatusEntry{Cell: id, CellStatus: cell.Status()})
 	}
-	slices.SortFunc(s.Cells, func(a, b OneStatus) int { return cmp.Compare(a.Cell, b.Cell) })
+	slices.SortFunc(s.Cells, func(a, b StatusEntry) int { return cmp.Compare(a.Cell, b.Cell) })
 	return s
 }
--- a/internal/cellhost/cellhost.go
+++ b/internal/cellhost/cellhost.go
@@ -31,10 +31,10 @@
 	Peers       *peer.Pool
 	Coordinator *cell.Coordinator
 	Metrics     *metric.Registry
-	// Interval is the interval between calls of Ticked.
+	// Interval is the interval between calls of RecordTick.
 	Interval time.Duration
-	// Refresh updates the membership view by asking the peers.
-	Refresh func(context.Context)
+	// RefreshView updates the membership view by asking the peers.
+	RefreshView func(context.Context)
 
 	pauses pauseDetector
 }
@@ -87,7 +87,7 @@
 // view from its peers.
 type pauseDetector struct {
 	mu sync.Mutex
-	// lastTick is when Ticked was last called; zero before the first call.
+	// lastTick is when RecordTick was last called; zero before the first call.
 	lastTick time.Time
 }
 
@@ -98,9 +98,9 @@
 	return !p.lastTick.IsZero() && clock.Since(p.lastTick) > pauseThreshold
 }
 
-// Ticked records that the daemon is running. It must be called at the end of each
+// RecordTick records that the daemon is running. It must be called at the end of each
 // tick, after RefreshAfterPause.
-func (h *Host) Ticked() {
+func (h *Host) RecordTick() {
 	h.pauses.mu.Lock()
 	defer h.pauses.mu.Unlock()
 	h.pauses.lastTick = h.Clock.Now()
@@ -114,14 +114,14 @@
 	}
 	h.Metrics.Inc("hosts.paused")
 	h.View.Forgive()
-	h.Refresh(ctx)
+	h.RefreshView(ctx)
 	return true
 }
 
-// SweepOrphans drops the grants and waiting requests of terminated daemons from
+// DropOrphans drops the grants and waiting requests of terminated daemons from
 // the local coordinator.
-func (h *Host) SweepOrphans() {
-	if n := h.Coordinator.Sweep(h.View.Hosts); n > 0 {
+func (h *Host) DropOrphans() {
+	if n := h.Coordinator.DropOrphans(h.View.Hosts); n > 0 {
 		h.Metrics.Add("cells.orphansDropped", int64(n))
 	}
 }
--- a/internal/cellhost/cellhost_test.go
+++ b/internal/cellhost/cellhost_test.go
@@ -15,7 +15,7 @@
 func TestBatchesWaitAfterPause(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	h := &Host{Clock: clock, Interval: 100 * time.Millisecond}
-	h.Ticked()
+	h.RecordTick()
 	clock.Advance(pauseThreshold)
 	h.awaitTick(context.Background())
 	clock.Advance(time.Millisecond)
@@ -32,7 +32,7 @@
 		t.Fatal("a batch was processed before the tick")
 	default:
 	}
-	h.Ticked()
+	h.RecordTick()
 	clock.Advance(h.Interval)
 	<-passed
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -121,7 +121,7 @@
 		Coordinator: d.coordinator,
 		Metrics:     d.metrics,
 		Interval:    tickInterval,
-		Refresh:     d.beats.Refresh,
+		RefreshView: d.beats.Refresh,
 	}
 	d.placer = placement.NewPlacer(d.clock, d.view, d.cells.Dial, d.metrics, size, s.Policy)
 	d.placer.OnShareChange = d.coordinator.SetShare
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -32,7 +32,7 @@
 }
 
 // addCell adds a cell that this daemon runs.
-func addCell(s *status.Daemon, one *cell.OneStatus) {
+func addCell(s *status.Daemon, one *cell.StatusEntry) {
 	for _, cl := range one.Classes {
 		queue := s.Queues[table.ClassName(cl.Class)]
 		queue.Add(status.Queue{
--- a/internal/daemon/tick.go
+++ b/internal/daemon/tick.go
@@ -12,7 +12,7 @@
 	ticker := d.clock.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
-		d.cells.Ticked()
+		d.cells.RecordTick()
 		select {
 		case <-ctx.Done():
 			return
@@ -23,7 +23,7 @@
 			d.view.Sweep()
 			d.owner.Update(d.view.Hosts(), d.hostList.liveDaemons())
 			d.coordinator.Tick(d.view.Ready(), d.placer.Suspects())
-			d.cells.SweepOrphans()
+			d.cells.DropOrphans()
 			d.placer.Tick()
 			d.platform.DivideBudgets(d.hostList.liveDaemons())
 		}
--- a/internal/dispatch/budget.go
+++ b/internal/dispatch/budget.go
@@ -13,7 +13,7 @@
 // classBudget limits the retries, hedges and resumes of a class to less than a
 // tenth of its requests, plus a small reserve that is always available to a
 // class with little traffic.
-var classBudget = retrybudget.Terms{Share: 0.09, Most: 100, Spare: 4, Refill: 0.2}
+var classBudget = retrybudget.Config{RetryRatio: 0.09, MaxEarned: 100, Reserve: 4, RefillPerSecond: 0.2}
 
 // budgets holds the retry budget of each class. It is safe for concurrent use.
 type budgets struct {
--- a/internal/forward/disconnect_test.go
+++ b/internal/forward/disconnect_test.go
@@ -36,16 +36,16 @@
 	}
 	boot := boottime.System{}
 	f := &Forwarder{
-		Clock:    clockwork.NewRealClock(),
-		Boot:     boot,
-		Logger:   slog.New(slog.DiscardHandler),
-		Metrics:  metric.NewRegistry(),
-		Pool:     http1.NewPool(clockwork.NewRealClock(), http1.Dial),
-		Wire:     testWire,
-		Reserve:  s.reserve(s.placer()),
-		Usable:   func(*table.Endpoint) bool { return true },
-		Budget:   func(table.Pool) Budget { return &fixedBudget{} },
-		Suspects: quarantine.NewList(clockwork.NewRealClock()),
+		Clock:      clockwork.NewRealClock(),
+		BootClock:  boot,
+		Logger:     slog.New(slog.DiscardHandler),
+		Metrics:    metric.NewRegistry(),
+		Pool:       http1.NewPool(clockwork.NewRealClock(), http1.Dial),
+		Protocol:   testWire,
+		Reserve:    s.reserve(s.placer()),
+		Usable:     func(*table.Endpoint) bool { return true },
+		Budget:     func(table.Pool) Budget { return &fixedBudget{} },
+		Quarantine: quarantine.NewList(clockwork.NewRealClock()),
 	}
 	for _, l := range listeners {
 		ctx, leave := context.WithCancel(context.Background())
@@ -62,10 +62,10 @@
 		now := boot.Now()
 		_ = f.Do(ctx, &Request{
 			ID: "r", Fingerprint: 1, Method: http.MethodPost, Target: "/x", Host: "h", Class: "c", Pool: "p", Attempts: 1,
-			Began: now, End: now + 20*time.Second, MaySend: func() *outcome.Refusal { return nil },
+			ReceivedAt: now, Deadline: now + 20*time.Second, MaySend: func() *outcome.Refusal { return nil },
 		}, Sink{})
 	}
-	for end := time.Now().Add(20 * time.Second); !f.Suspects.Kept(1); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); !f.Quarantine.Kept(1); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the request was not quarantined after its endpoints terminated")
 		}
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -52,12 +52,12 @@
 
 // readResponse reads the response and forwards it.
 func (r *run) readResponse(ctx context.Context, x *http1.Exchange, grant *placement.Grant) attemptResult {
-	x.Patience(r.silenceTimeout(targetsUntilSilent * r.req.Objective))
+	x.Patience(r.silenceTimeout(targetsUntilSilent * r.req.StartTarget))
 	resp, err := x.Response() //nolint:bodyclose // the exchange manages its connection; closing the body would read it to the end
 	if err != nil {
 		return failedResult(readFailureReason(ctx, err), err)
 	}
-	verdict := r.f.Wire.Read(resp.StatusCode, resp.Header)
+	verdict := r.f.Protocol.ReadHead(resp.StatusCode, resp.Header)
 	grant.RecordLimit(verdict.Limit)
 	if verdict.NotRun {
 		r.discard(x, resp)
@@ -109,7 +109,7 @@
 		return r.forwardLong(ctx, x, resp, a)
 	}
 	x.Finish()
-	if resp.StatusCode/100 == 5 || r.f.Wire.Promises(resp.StatusCode) {
+	if resp.StatusCode/100 == 5 || r.f.Protocol.ImpliesNotRun(resp.StatusCode) {
 		r.errorResponse = a
 		return failedResult(outcome.ReasonEndpointFailed, errors.Errorf("status %d", resp.StatusCode))
 	}
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -48,18 +48,19 @@
 	// none.
 	PromptTokens, OutputTokens int
 	Parts                      []placement.Part
-	// Objective is the target time to the response or its first event, Pause
-	// the target gap between two events; zero means no target.
-	Objective, Pause time.Duration
-	// Leaves is how long the caller waits for the response to begin; zero means
-	// until End.
-	Leaves time.Duration
+	// StartTarget is the target time to the response or its first event,
+	// GapTarget the target gap between two events; zero means no target.
+	StartTarget, GapTarget time.Duration
+	// StartTimeout is how long the caller waits for the response to begin; zero
+	// means until Deadline.
+	StartTimeout time.Duration
 	// LastEvent is the id of the last event that the caller has received, if it
 	// resumes a stream.
 	LastEvent string
-	// Began is when the request arrived, End its deadline, set by the caller or
-	// by the route's timeout. Both are times since the machine was booted.
-	Began, End time.Duration
+	// ReceivedAt is when the request arrived, Deadline when it must have ended,
+	// set by the caller or by the route's timeout. Both are times since the
+	// machine was booted.
+	ReceivedAt, Deadline time.Duration
 	// Logged enables logging of routine decisions for this request.
 	Logged bool
 	// MaySend is called right before each attempt. If it returns a refusal, the
@@ -80,12 +81,12 @@
 	Body func(p []byte) error
 }
 
-// Send describes one attempt to send a request to an endpoint.
-type Send struct {
+// Attempt describes one attempt to send a request to an endpoint.
+type Attempt struct {
 	Request  *Request
 	Endpoint *table.Endpoint
-	// Left is the time until the deadline of the request.
-	Left time.Duration
+	// TimeRemaining is the time until the deadline of the request.
+	TimeRemaining time.Duration
 	// LastEvent is the id of the last event that the caller has received, or "".
 	LastEvent string
 	// FetchFrom is the address of an engine that has parts of the prompt in its
@@ -93,8 +94,8 @@
 	FetchFrom string
 }
 
-// Verdict holds what the head of an endpoint's response says.
-type Verdict struct {
+// ResponseInfo holds what the head of an endpoint's response says.
+type ResponseInfo struct {
 	// NotRun reports whether the endpoint guarantees that it has not run the
 	// request and will not run it.
 	NotRun bool
@@ -104,18 +105,18 @@
 	Limit placement.Limit
 }
 
-// Wire implements the headers and status codes of the protocol that endpoints
+// Protocol implements the headers and status codes of the protocol that endpoints
 // use.
-type Wire struct {
+type Protocol struct {
 	// Header returns the request headers for one attempt.
-	Header func(s Send) http.Header
-	// Read interprets the head of a response.
-	Read func(status int, h http.Header) Verdict
-	// Mine reports whether a response belongs to the request.
-	Mine func(r *Request, h http.Header) bool
-	// Promises reports whether callers conclude from a status code that the
+	Header func(s Attempt) http.Header
+	// ReadHead interprets the head of a response.
+	ReadHead func(status int, h http.Header) ResponseInfo
+	// BelongsTo reports whether a response belongs to the request.
+	BelongsTo func(r *Request, h http.Header) bool
+	// ImpliesNotRun reports whether callers conclude from a status code that the
 	// request was not run.
-	Promises func(status int) bool
+	ImpliesNotRun func(status int) bool
 }
 
 // Budget limits the retries to a pool. Add is called once for each request, Take
@@ -128,32 +129,32 @@
 // Forwarder forwards requests to endpoints. All fields must be set before use. It
 // is safe for concurrent use.
 type Forwarder struct {
-	Clock   clockwork.Clock
-	Boot    boottime.Clock
-	Logger  *slog.Logger
-	Metrics *metric.Registry
-	Pool    *http1.Pool
-	Wire    Wire
+	Clock     clockwork.Clock
+	BootClock boottime.Clock
+	Logger    *slog.Logger
+	Metrics   *metric.Registry
+	Pool      *http1.Pool
+	Protocol  Protocol
 	// Reserve reserves a slot on an endpoint.
 	Reserve func(ctx context.Context, r placement.Request) (*placement.Grant, error)
 	// Usable reports whether, as far as this daemon knows, an endpoint still
 	// accepts work.
 	Usable func(e *table.Endpoint) bool
-	// Suspects lists the requests during which endpoints have terminated.
-	Suspects *quarantine.List
+	// Quarantine lists the requests during which endpoints have terminated.
+	Quarantine *quarantine.List
 	// Budget returns the retry budget of a pool.
 	Budget func(pool table.Pool) Budget
 }
 
-// ErrBroken reports that a response was truncated after its head was forwarded.
+// ErrTruncated reports that a response was truncated after its head was forwarded.
 // The caller's connection must be aborted, so that the response does not look
 // complete.
-var ErrBroken = errors.New("response truncated after its head was forwarded")
+var ErrTruncated = errors.New("response truncated after its head was forwarded")
 
-// Do runs a request and writes the response to the sink. The error is ErrBroken
-// or a refusal, for which nothing has been written to the sink.
+// Do runs a request and writes the response to the sink. The error is
+// ErrTruncated or a refusal, for which nothing has been written to the sink.
 func (f *Forwarder) Do(ctx context.Context, r *Request, sink Sink) error {
-	ctx, cancel := context.WithTimeout(ctx, r.End-f.Boot.Now())
+	ctx, cancel := context.WithTimeout(ctx, r.Deadline-f.BootClock.Now())
 	defer cancel()
 	run := &run{f: f, began: f.Clock.Now(), req: r, sink: sink, budget: f.Budget(r.Pool), lastEvent: r.LastEvent}
 	run.budget.Add()
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -187,15 +187,15 @@
 	return string(endpointName(s.next - 1))
 }
 
-var testWire = Wire{
-	Header: func(s Send) http.Header {
+var testWire = Protocol{
+	Header: func(s Attempt) http.Header {
 		return http.Header{"Id": {s.Request.ID}, "Last": {s.LastEvent}}
 	},
-	Read: func(_ int, h http.Header) Verdict {
-		return Verdict{NotRun: h.Get("Not-Run") != "", Signed: h.Get("Signed") != ""}
+	ReadHead: func(_ int, h http.Header) ResponseInfo {
+		return ResponseInfo{NotRun: h.Get("Not-Run") != "", Signed: h.Get("Signed") != ""}
 	},
-	Mine:     func(*Request, http.Header) bool { return true },
-	Promises: func(status int) bool { return status == http.StatusServiceUnavailable },
+	BelongsTo:     func(*Request, http.Header) bool { return true },
+	ImpliesNotRun: func(status int) bool { return status == http.StatusServiceUnavailable },
 }
 
 var testKinds = map[string]catalog.Kind{"safe": catalog.Safe, "unsafe": catalog.Unsafe, "stream": catalog.Stream}
@@ -229,25 +229,25 @@
 	boot := boottime.System{}
 	var log strings.Builder
 	f := &Forwarder{
-		Clock:   clockwork.NewRealClock(),
-		Boot:    boot,
-		Logger:  slog.New(slog.NewTextHandler(&log, nil)),
-		Metrics: metric.NewRegistry(),
-		Pool:    http1.NewPool(clockwork.NewRealClock(), http1.Dial),
-		Wire:    testWire,
-		Reserve: s.reserve(s.placer()),
-		Usable:  tt.usable(),
-		Budget:  func(table.Pool) Budget { return &fixedBudget{left: tt.Budget} },
+		Clock:     clockwork.NewRealClock(),
+		BootClock: boot,
+		Logger:    slog.New(slog.NewTextHandler(&log, nil)),
+		Metrics:   metric.NewRegistry(),
+		Pool:      http1.NewPool(clockwork.NewRealClock(), http1.Dial),
+		Protocol:  testWire,
+		Reserve:   s.reserve(s.placer()),
+		Usable:    tt.usable(),
+		Budget:    func(table.Pool) Budget { return &fixedBudget{left: tt.Budget} },
 
-		Suspects: quarantine.NewList(clockwork.NewRealClock()),
+		Quarantine: quarantine.NewList(clockwork.NewRealClock()),
 	}
 	now := boot.Now()
 	var body strings.Builder
 	err := f.Do(context.Background(), &Request{
 		ID: "r", Method: http.MethodPost, Target: "/x", Host: "h", Class: "c", Pool: "p",
 		Kind: testKinds[tt.Kind], Resumable: tt.Resumable, Attempts: tt.Attempts,
-		Objective: tt.Objective,
-		Began:     now, End: now + 20*time.Second,
+		StartTarget: tt.Objective,
+		ReceivedAt:  now, Deadline: now + 20*time.Second,
 		MaySend: tt.maySend(),
 	}, Sink{
 		Head: func(status int, _ http.Header, _ int64) {
@@ -265,7 +265,7 @@
 	switch {
 	case err == nil:
 		return body.String(), s.sent
-	case errors.Is(err, ErrBroken):
+	case errors.Is(err, ErrTruncated):
 		return "broken " + body.String(), s.sent
 	}
 	return string(outcome.Of(err).Outcome), s.sent
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -117,7 +117,7 @@
 	}
 	r.f.Logger.Info("placed", "request", r.req.ID, "fingerprint", r.req.Fingerprint.String(), "class", r.req.Class, "account", r.req.Account, "endpoint", grant.Endpoint.Name,
 		"coordinator", grant.Coordinator(), "fetchFrom", fetchFrom, "attempt", r.mayHaveRun+r.notRun, "waitMs", waited.Milliseconds(),
-		"leftMs", (r.req.End - r.f.Boot.Now()).Milliseconds(), "promptTokens", r.req.PromptTokens,
+		"leftMs", (r.req.Deadline - r.f.BootClock.Now()).Milliseconds(), "promptTokens", r.req.PromptTokens,
 		"backlogMs", grant.Choice.Backlog.Milliseconds(), "unreadMs", grant.Choice.PrefillTime.Milliseconds(), "decode", grant.Choice.Decode)
 }
 
@@ -125,7 +125,7 @@
 // completely.
 func (r *run) recordAnswered(grant *placement.Grant, e attemptResult) {
 	if e.completed {
-		r.f.Suspects.Completed(r.req.Fingerprint)
+		r.f.Quarantine.Completed(r.req.Fingerprint)
 	}
 	took := r.f.Clock.Since(r.began)
 	r.f.Metrics.ObserveClass("answer.ms", string(r.req.Class), took.Milliseconds())
@@ -146,8 +146,8 @@
 // line includes the data by which the endpoint was chosen, and is written even if
 // Logged is not set.
 func (r *run) recordLate(grant *placement.Grant, pause time.Duration, at int) {
-	beganLate := r.req.Objective > 0 && r.firstEvent > r.req.Objective
-	pausedLong := r.req.Pause > 0 && pause > r.req.Pause
+	beganLate := r.req.StartTarget > 0 && r.firstEvent > r.req.StartTarget
+	pausedLong := r.req.GapTarget > 0 && pause > r.req.GapTarget
 	if !beganLate && !pausedLong {
 		return
 	}
@@ -159,8 +159,8 @@
 	}
 	r.f.Logger.Info("answered late", "request", r.req.ID, "class", r.req.Class, "endpoint", grant.Endpoint.Name,
 		"coordinator", grant.Coordinator(), "attempts", r.mayHaveRun+r.notRun+1,
-		"firstEventMs", r.firstEvent.Milliseconds(), "targetMs", r.req.Objective.Milliseconds(),
-		"longestPauseMs", pause.Milliseconds(), "longestPauseEvent", at, "pauseAllowedMs", r.req.Pause.Milliseconds(),
+		"firstEventMs", r.firstEvent.Milliseconds(), "targetMs", r.req.StartTarget.Milliseconds(),
+		"longestPauseMs", pause.Milliseconds(), "longestPauseEvent", at, "pauseAllowedMs", r.req.GapTarget.Milliseconds(),
 		"waitMs", r.slotWait.Milliseconds(), "backlogMs", grant.Choice.Backlog.Milliseconds(),
 		"unreadMs", grant.Choice.PrefillTime.Milliseconds(), "decode", grant.Choice.Decode, "promptTokens", r.req.PromptTokens)
 }
@@ -176,7 +176,7 @@
 	r.f.Metrics.Inc("attempts." + string(e.reason))
 	if e.terminated {
 		r.f.Metrics.Inc("attempts.endpointEnded")
-		r.f.Suspects.Ended(r.req.Fingerprint, grant.Endpoint.Name)
+		r.f.Quarantine.Ended(r.req.Fingerprint, grant.Endpoint.Name)
 	}
 	r.f.Logger.Info("attempt failed", "request", r.req.ID, "class", r.req.Class, "endpoint", grant.Endpoint.Name,
 		"fingerprint", r.req.Fingerprint.String(), "coordinator", grant.Coordinator(),
@@ -195,7 +195,7 @@
 			PromptTokens:    r.req.PromptTokens,
 			EstimatedTokens: r.req.OutputTokens,
 			Parts:           r.req.Parts,
-			Waited:          r.f.Boot.Now() - r.req.Began,
+			Waited:          r.f.BootClock.Now() - r.req.ReceivedAt,
 			StartTimeout:    r.startLimit(),
 			Excluded:        r.failed,
 			Attempt:         r.mayHaveRun + r.notRun,
@@ -228,9 +228,9 @@
 	if r.mayHaveRun > 0 || r.headSent {
 		return 0
 	}
-	until := r.req.End - r.req.Began
-	if r.req.Leaves > 0 {
-		until = min(until, r.req.Leaves)
+	until := r.req.Deadline - r.req.ReceivedAt
+	if r.req.StartTimeout > 0 {
+		until = min(until, r.req.StartTimeout)
 	}
 	return until
 }
@@ -267,7 +267,7 @@
 		return false
 	case r.mayHaveRun >= r.req.Attempts || r.notRun >= maxNotRun:
 		return false
-	case r.f.Suspects.Kept(r.req.Fingerprint):
+	case r.f.Quarantine.Kept(r.req.Fingerprint):
 		return false
 	case e.reason == outcome.ReasonConnect:
 		// The endpoint has received nothing, so the next attempt repeats nothing
@@ -284,7 +284,7 @@
 func (r *run) failAttempts(ctx context.Context, e attemptResult) error {
 	switch {
 	case r.headSent:
-		return errors.Wrap(ErrBroken, e.err.Error())
+		return errors.Wrap(ErrTruncated, e.err.Error())
 	case r.errorResponse != nil && ctx.Err() == nil:
 		return r.forwardResponse(r.errorResponse)
 	}
@@ -299,7 +299,7 @@
 	refusal, ok := errors.Into[*outcome.Refusal](err)
 	switch {
 	case r.headSent:
-		return errors.Wrap(ErrBroken, err.Error())
+		return errors.Wrap(ErrTruncated, err.Error())
 	case r.errorResponse != nil && ctx.Err() == nil:
 		return r.forwardResponse(r.errorResponse)
 	case !ok:
@@ -330,21 +330,21 @@
 // confirmed that with a header, and callers would repeat a request that may have
 // run.
 func (r *run) forwardResponse(a *response) error {
-	if r.f.Wire.Promises(a.status) {
+	if r.f.Protocol.ImpliesNotRun(a.status) {
 		return outcome.UnknownError(outcome.ReasonEndpointFailed, "the endpoint failed the request")
 	}
 	r.sink.Head(a.status, a.header, int64(len(a.body)))
 	if err := r.sink.Body(a.body); err != nil {
-		return errors.Wrap(ErrBroken, err.Error())
+		return errors.Wrap(ErrTruncated, err.Error())
 	}
 	return nil
 }
 
 // attempt sends the request to one endpoint and forwards the response.
 func (r *run) attempt(ctx context.Context, grant *placement.Grant) attemptResult {
-	left := r.req.End - r.f.Boot.Now()
+	left := r.req.Deadline - r.f.BootClock.Now()
 	endpoint := &grant.Endpoint
-	send := Send{Request: r.req, Endpoint: endpoint, Left: left, LastEvent: r.lastEvent}
+	send := Attempt{Request: r.req, Endpoint: endpoint, TimeRemaining: left, LastEvent: r.lastEvent}
 	if grant.FetchFrom != nil {
 		send.FetchFrom = address(grant.FetchFrom)
 	}
@@ -352,10 +352,10 @@
 		Method: r.req.Method,
 		Target: r.req.Target,
 		Host:   r.req.Host,
-		Header: r.f.Wire.Header(send),
+		Header: r.f.Protocol.Header(send),
 		Body:   r.req.Body,
 		Check:  func() error { return r.checkWrite(endpoint) },
-		Mine:   func(h http.Header) bool { return r.f.Wire.Mine(r.req, h) },
+		Mine:   func(h http.Header) bool { return r.f.Protocol.BelongsTo(r.req, h) },
 	})
 	if refusal, ok := errors.Into[*outcome.Refusal](err); ok {
 		return attemptResult{err: refusal, reason: refusal.Reason, report: peerv1.ReleaseOutcome_RELEASE_OUTCOME_CALLER_GONE}
--- a/internal/forward/start_limit_test.go
+++ b/internal/forward/start_limit_test.go
@@ -9,7 +9,7 @@
 // late. This would be wrong once an endpoint may have run the request or a stream
 // has begun, so no time limit may be given then.
 func TestNoStartLimitOnceRequestMayHaveRun(t *testing.T) {
-	r := &Request{Began: time.Second, End: 6 * time.Second, Leaves: 2 * time.Second}
+	r := &Request{ReceivedAt: time.Second, Deadline: 6 * time.Second, StartTimeout: 2 * time.Second}
 	for _, one := range []struct {
 		run  run
 		want time.Duration
@@ -18,8 +18,8 @@
 		{run{req: r, notRun: 1}, 2 * time.Second},
 		{run{req: r, mayHaveRun: 1}, 0},
 		{run{req: r, headSent: true}, 0},
-		{run{req: &Request{Began: time.Second, End: 2 * time.Second, Leaves: 2 * time.Second}}, time.Second},
-		{run{req: &Request{End: 3 * time.Second}}, 3 * time.Second},
+		{run{req: &Request{ReceivedAt: time.Second, Deadline: 2 * time.Second, StartTimeout: 2 * time.Second}}, time.Second},
+		{run{req: &Request{Deadline: 3 * time.Second}}, 3 * time.Second},
 	} {
 		if got := one.run.startLimit(); got != one.want {
 			t.Errorf("mayHaveRun %d, headSent %v: start limit is %v, want %v", one.run.mayHaveRun, one.run.headSent, got, one.want)
--- a/internal/forward/unknown_class_test.go
+++ b/internal/forward/unknown_class_test.go
@@ -22,11 +22,11 @@
 	for _, unknown := range []int{1, maxStaleRetries, maxStaleRetries + 1} {
 		asked := 0
 		f := &Forwarder{
-			Clock:   clockwork.NewRealClock(),
-			Boot:    boottime.System{},
-			Logger:  slog.New(slog.NewTextHandler(io.Discard, nil)),
-			Metrics: metric.NewRegistry(),
-			Usable:  func(*table.Endpoint) bool { return true },
+			Clock:     clockwork.NewRealClock(),
+			BootClock: boottime.System{},
+			Logger:    slog.New(slog.NewTextHandler(io.Discard, nil)),
+			Metrics:   metric.NewRegistry(),
+			Usable:    func(*table.Endpoint) bool { return true },
 			Reserve: func(context.Context, placement.Request) (*placement.Grant, error) {
 				if asked++; asked <= unknown {
 					return nil, outcome.NotRunError(outcome.ReasonUnknownClass, "the class is not known")
--- a/internal/gateway/figures.go
+++ b/internal/gateway/figures.go
@@ -59,7 +59,7 @@
 }
 
 // limitedEndpoints returns how many endpoints of some cells are held to a limit.
-func limitedEndpoints(cells []cell.OneStatus) (n int64) {
+func limitedEndpoints(cells []cell.StatusEntry) (n int64) {
 	for _, one := range cells {
 		for _, e := range one.Endpoints {
 			if e.LimitPerSecond > 0 {
--- a/internal/gateway/front.go
+++ b/internal/gateway/front.go
@@ -66,7 +66,7 @@
 		g.metrics.Inc("requests.answered")
 		return
 	}
-	if errors.Is(err, forward.ErrBroken) {
+	if errors.Is(err, forward.ErrTruncated) {
 		g.metrics.Inc("requests.broken")
 		g.logger.Warn("answer broken off", "request", req.ID, "class", req.Class, "cause", err.Error())
 		panic(http.ErrAbortHandler)
@@ -233,12 +233,12 @@
 		PromptTokens: call.PromptTokens,
 		OutputTokens: call.OutputTokens,
 		Parts:        call.Parts,
-		Objective:    route.Target,
-		Pause:        route.Pause,
-		Leaves:       route.Leaves,
+		StartTarget:  route.Target,
+		GapTarget:    route.Pause,
+		StartTimeout: route.Leaves,
 		LastEvent:    call.LastEvent,
-		Began:        began,
-		End:          began + wait,
+		ReceivedAt:   began,
+		Deadline:     began + wait,
 		Logged:       g.sampler.Pick(),
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -145,7 +145,7 @@
 		Coordinator: g.coordinator,
 		Metrics:     g.metrics,
 		Interval:    tickInterval,
-		Refresh:     g.beats.Refresh,
+		RefreshView: g.beats.Refresh,
 	}
 	g.placer = placement.NewPlacer(g.clock, g.view, g.cells.Dial, g.metrics, size, g.conf().Policy)
 	g.placer.OnShareChange = g.coordinator.SetShare
@@ -161,17 +161,17 @@
 		g.logger.Info("endpoint limit", "endpoint", endpoint, "perSecond", perSecond)
 	}
 	g.forwarder = &forward.Forwarder{
-		Clock:   g.clock,
-		Boot:    g.boot,
-		Logger:  g.logger,
-		Metrics: g.metrics,
-		Pool:    http1.NewPool(g.clock, http1.Dial),
-		Wire:    wire.EngineWire(),
-		Reserve: g.placer.Reserve,
-		Usable:  g.usable,
-		Budget:  g.budget,
+		Clock:     g.clock,
+		BootClock: g.boot,
+		Logger:    g.logger,
+		Metrics:   g.metrics,
+		Pool:      http1.NewPool(g.clock, http1.Dial),
+		Protocol:  wire.EngineWire(),
+		Reserve:   g.placer.Reserve,
+		Usable:    g.usable,
+		Budget:    g.budget,
 
-		Suspects: g.suspects,
+		Quarantine: g.suspects,
 	}
 }
 
@@ -279,7 +279,7 @@
 	ticker := g.clock.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
-		g.cells.Ticked()
+		g.cells.RecordTick()
 		select {
 		case <-ctx.Done():
 			return
@@ -295,6 +295,6 @@
 	}
 	g.view.Sweep()
 	g.coordinator.Tick(g.view.Ready(), g.placer.Suspects())
-	g.cells.SweepOrphans()
+	g.cells.DropOrphans()
 	g.placer.Tick()
 }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -144,17 +144,17 @@
 	defer g.budgetMu.Unlock()
 	retry := g.conf().Gateway.Retry
 	slack := budgetSlackPart * retry.Slack / float64(max(1, g.view.Hosts().Len()))
-	terms := retrybudget.Terms{
-		Share:  budgetPart * retry.Share,
-		Most:   max(1, slack),
-		Spare:  max(1, slack),
-		Refill: slack / retry.Window.Std().Seconds(),
+	terms := retrybudget.Config{
+		RetryRatio:      budgetPart * retry.Share,
+		MaxEarned:       max(1, slack),
+		Reserve:         max(1, slack),
+		RefillPerSecond: slack / retry.Window.Std().Seconds(),
 	}
 	b := g.budgets[pool]
 	if b == nil {
 		b = retrybudget.New(g.clock, terms)
 		g.budgets[pool] = b
 	}
-	b.Change(terms)
+	b.SetConfig(terms)
 	return b
 }
--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -13,14 +13,15 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Terms are the parameters of a budget.
-type Terms struct {
-	// Share is the number of retries that each request earns. Most is the
-	// maximum number of earned retries that can accumulate.
-	Share, Most float64
-	// Spare is the size of the reserve, which is full at first. Refill is the
-	// number of retries by which the reserve is refilled per second.
-	Spare, Refill float64
+// Config holds the parameters of a budget.
+type Config struct {
+	// RetryRatio is the number of retries that each request earns. MaxEarned is
+	// the maximum number of earned retries that can accumulate.
+	RetryRatio, MaxEarned float64
+	// Reserve is the size of the reserve, which is full at first.
+	// RefillPerSecond is the number of retries by which it is refilled per
+	// second.
+	Reserve, RefillPerSecond float64
 }
 
 // Budget counts the retries that are still allowed. It is safe for concurrent
@@ -28,33 +29,33 @@
 type Budget struct {
 	clock clockwork.Clock
 
-	mu    sync.Mutex
-	terms Terms
-	// earned holds the retries earned by requests, between 0 and Most; reserve
-	// holds those of the reserve, between 0 and Spare.
+	mu     sync.Mutex
+	config Config
+	// earned holds the retries earned by requests, between 0 and MaxEarned;
+	// reserve holds those of the reserve, between 0 and Reserve.
 	earned, reserve float64
 	refilled        time.Time
 }
 
 // New returns a budget with a full reserve.
-func New(clock clockwork.Clock, t Terms) *Budget {
-	return &Budget{clock: clock, terms: t, reserve: t.Spare, refilled: clock.Now()}
+func New(clock clockwork.Clock, t Config) *Budget {
+	return &Budget{clock: clock, config: t, reserve: t.Reserve, refilled: clock.Now()}
 }
 
-// Change replaces the terms. Retries in excess of the new limits are lost.
-func (b *Budget) Change(t Terms) {
+// SetConfig replaces the parameters. Retries in excess of the new limits are lost.
+func (b *Budget) SetConfig(t Config) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.terms = t
-	b.earned = min(b.earned, t.Most)
-	b.reserve = min(b.reserve, t.Spare)
+	b.config = t
+	b.earned = min(b.earned, t.MaxEarned)
+	b.reserve = min(b.reserve, t.Reserve)
 }
 
 // Add adds the share that one request earns.
 func (b *Budget) Add() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.earned = min(b.earned+b.terms.Share, b.terms.Most)
+	b.earned = min(b.earned+b.config.RetryRatio, b.config.MaxEarned)
 }
 
 // Take takes one retry from the budget, first from the earned ones, then from the
@@ -63,7 +64,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.clock.Now()
-	b.reserve = min(b.reserve+b.terms.Refill*now.Sub(b.refilled).Seconds(), b.terms.Spare)
+	b.reserve = min(b.reserve+b.config.RefillPerSecond*now.Sub(b.refilled).Seconds(), b.config.Reserve)
 	b.refilled = now
 	switch {
 	case b.earned >= 1:
