--- a/internal/attainment/request.go
+++ b/internal/attainment/request.go
@@ -62,7 +62,7 @@
 		q.answered(&f)
 	} else {
 		f.WastedTokens = q.tokens
-		f.Refused = map[outcome.Reason]int64{outcome.Of(err).Reason: 1}
+		f.Refused = map[outcome.Reason]int64{outcome.FromError(err).Reason: 1}
 	}
 	r := q.recorder
 	r.mu.Lock()
--- a/internal/caller/call.go
+++ b/internal/caller/call.go
@@ -112,7 +112,7 @@
 	switch {
 	case callErr == nil:
 		s.Claims.Finish(ctx, c, claim.Done, resp)
-	case outcome.Of(callErr).Outcome == outcome.NotRun:
+	case outcome.FromError(callErr).Outcome == outcome.NotRun:
 		s.Claims.Release(ctx, c)
 	default:
 		s.Claims.Finish(ctx, c, claim.Unknown, nil)
--- a/internal/caller/event.go
+++ b/internal/caller/event.go
@@ -79,7 +79,7 @@
 // breakOff ends a stream that can't be completed with an error event and
 // without the end marker, so that no caller takes it for a whole answer.
 func (e *eventWriter) breakOff(err error) error {
-	refusal := *outcome.Of(err)
+	refusal := *outcome.FromError(err)
 	refusal.Outcome = outcome.Unknown
 	data, encodeErr := json.Marshal(detail(&refusal))
 	if encodeErr != nil {
--- a/internal/caller/refuse.go
+++ b/internal/caller/refuse.go
@@ -123,5 +123,5 @@
 	case http.StatusMethodNotAllowed:
 		return outcome.NotRunError(outcome.ReasonUnknownMethod, "the path does not take this method")
 	}
-	return outcome.Of(err)
+	return outcome.FromError(err)
 }
--- a/internal/claim/history_test.go
+++ b/internal/claim/history_test.go
@@ -224,7 +224,7 @@
 	c, err := a.store.Begin(ctx, claim.Scope{Account: "studio", Service: "booking", Key: key}, nil)
 	switch {
 	case err != nil:
-		reason := outcome.Of(err).Reason
+		reason := outcome.FromError(err).Reason
 		a.recorder.record(a.id, in, call, output{result: string(reason)})
 		if reason == outcome.ReasonStoreDown {
 			a.finishOp("dropped", key, n, func() {})
--- a/internal/claim/script_test.go
+++ b/internal/claim/script_test.go
@@ -177,7 +177,7 @@
 	got := "claimed"
 	switch {
 	case err != nil:
-		got = string(outcome.Of(err).Reason)
+		got = string(outcome.FromError(err).Reason)
 	case c.Replay != nil:
 		got = "replay"
 		if want := response(s); string(c.Replay.Body) != string(want.Body) || c.Replay.Header.Get("X-Booth") != "1" {
@@ -190,7 +190,7 @@
 		r.t.Fatalf("%s: %s (%v), want %s", name, got, err, s.Want)
 	}
 	if err != nil {
-		r.checkOutcome(name, outcome.Of(err))
+		r.checkOutcome(name, outcome.FromError(err))
 	}
 }
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -111,7 +111,7 @@
 	d.keeper.InMinority = d.view.InMinority
 	d.keeper.FromPeers = d.fetchFromPartner
 	d.suspects = quarantine.NewList(d.clock)
-	d.suspects.Changed = quarantine.Note(d.logger, d.metrics.Inc)
+	d.suspects.OnChange = quarantine.ReportChanges(d.logger, d.metrics.Inc)
 	d.buildPeers()
 	d.buildSpreader()
 	d.cells = &cellhost.Host{
--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -64,7 +64,7 @@
 func (r *callRun) do(ctx context.Context) (*service.Response, error) {
 	began := r.d.clock.Now()
 	for attempt := 0; ; attempt++ {
-		if r.d.suspects.Kept(r.call.Fingerprint) {
+		if r.d.suspects.IsQuarantined(r.call.Fingerprint) {
 			return nil, r.refusal(outcome.ReasonQuarantined, quarantine.Message)
 		}
 		grant, err := r.d.placer.Reserve(ctx, placement.Request{
@@ -81,7 +81,7 @@
 		resp, err := r.send(ctx, grant)
 		if err == nil {
 			if resp.Status/100 == 2 {
-				r.d.suspects.Completed(r.call.Fingerprint)
+				r.d.suspects.RecordCompletion(r.call.Fingerprint)
 			}
 			return resp, nil
 		}
@@ -136,7 +136,7 @@
 	if ctx.Err() != nil {
 		return r.refusal(outcome.ReasonCallerGone, "the caller is gone")
 	}
-	refusal := outcome.Of(err)
+	refusal := outcome.FromError(err)
 	if r.maybeExecuted {
 		refusal.Outcome = outcome.Unknown
 	}
--- a/internal/dispatch/chat.go
+++ b/internal/dispatch/chat.go
@@ -67,7 +67,7 @@
 // do makes attempts until one of them delivers the rest of the response.
 func (r *chatRun) do(ctx context.Context) error {
 	for {
-		if r.d.suspects.Kept(r.chat.Fingerprint) {
+		if r.d.suspects.IsQuarantined(r.chat.Fingerprint) {
 			return r.refusal(outcome.ReasonQuarantined, quarantine.Message)
 		}
 		a, err := r.startAttempts(ctx)
@@ -75,7 +75,7 @@
 			err = r.deliver(a)
 		}
 		if err == nil {
-			r.d.suspects.Completed(r.chat.Fingerprint)
+			r.d.suspects.RecordCompletion(r.chat.Fingerprint)
 			return nil
 		}
 		if ctx.Err() != nil {
--- a/internal/dispatch/suspect.go
+++ b/internal/dispatch/suspect.go
@@ -17,8 +17,8 @@
 	case outcome.ReasonCallerGone, outcome.ReasonPreempted, outcome.ReasonSilent, outcome.ReasonEndpointRefused:
 		return
 	}
-	if ctx.Err() == nil && endpoint.Ended(ctx, e.URL) {
+	if ctx.Err() == nil && endpoint.HasTerminated(ctx, e.URL) {
 		d.metrics.Inc("attempts.endpointEnded")
-		d.suspects.Ended(f, e.Name)
+		d.suspects.RecordTermination(f, e.Name)
 	}
 }
--- a/internal/endpoint/sender.go
+++ b/internal/endpoint/sender.go
@@ -49,8 +49,9 @@
 	FirstByte time.Duration
 }
 
-// Answer is the endpoint's response. Its body must be closed or discarded.
-type Answer struct {
+// Response is the response of an endpoint. Its body must be closed or
+// discarded.
+type Response struct {
 	*http.Response
 	conn   *conn
 	sender *Sender
@@ -60,14 +61,14 @@
 
 // Close closes the response. Its connection is reused if the body was read
 // completely.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	_ = a.Body.Close()
 	a.cancel(nil)
 }
 
-// Suspect discards a response whose connection has stalled, and closes the idle
-// connections to the same address as well.
-func (a *Answer) Suspect() {
+// DiscardStalled discards a response whose connection has stalled, and closes
+// the idle connections to the same address as well.
+func (a *Response) DiscardStalled() {
 	a.Discard()
 	if a.conn != nil {
 		a.sender.closeIdle(a.conn.RemoteAddr().String())
@@ -77,7 +78,7 @@
 // Discard closes the response and its connection. It is for connections that
 // must not be reused, for example because they carried the response to another
 // request.
-func (a *Answer) Discard() {
+func (a *Response) Discard() {
 	a.Close()
 	if a.conn != nil {
 		a.conn.blockWrites()
@@ -114,7 +115,7 @@
 // Send sends a request. It tries another connection only if certainly no byte
 // was written, or if the request is repeatable. After an error other than
 // ErrNotSent the endpoint may have received the request.
-func (s *Sender) Send(ctx context.Context, r Request) (a *Answer, err error) {
+func (s *Sender) Send(ctx context.Context, r Request) (a *Response, err error) {
 	transport := s.singleUse
 	if r.Pooled && (len(r.Body) > 0 || usuallyLacksBody(r.Method)) {
 		transport = s.pooled
@@ -144,13 +145,13 @@
 var errUnusedConn = errors.Wrap(ErrNotSent, "the connection died before the request")
 
 // try sends a request over one connection.
-func (s *Sender) try(ctx context.Context, r Request, transport *http.Transport) (*Answer, *connTracker, error) {
+func (s *Sender) try(ctx context.Context, r Request, transport *http.Transport) (*Response, *connTracker, error) {
 	t := &connTracker{sender: s}
 	ctx, cancel := context.WithCancelCause(ctx)
 	stop := startTimeout(r.FirstByte, cancel)
 	resp, err := s.roundTrip(ctx, r, transport, t)
 	if inTime := stop(); err == nil && inTime {
-		return &Answer{Response: resp, conn: t.conn, sender: s, cancel: cancel}, t, nil
+		return &Response{Response: resp, conn: t.conn, sender: s, cancel: cancel}, t, nil
 	}
 	if err == nil {
 		_ = resp.Body.Close()
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -77,7 +77,7 @@
 
 // Stream is the engine's answer as it comes. It must be closed.
 type Stream struct {
-	answer *endpoint.Answer
+	answer *endpoint.Response
 	events *eventReader
 	// ctx is the stream's lifetime; its cause tells silence from a caller gone.
 	ctx    context.Context
@@ -155,7 +155,7 @@
 	data, err := s.events.next()
 	switch {
 	case err != nil && s.isSilent():
-		s.answer.Suspect()
+		s.answer.DiscardStalled()
 		return nil, ErrSilent
 	case errors.Is(err, ErrGarbage):
 		return nil, err
--- a/internal/factsync/suspects_test.go
+++ b/internal/factsync/suspects_test.go
@@ -46,7 +46,7 @@
 	go paused.pause(suspectsBound)
 	for i := 0; i < 3; {
 		if d := s.daemon(s.pick(n)); d != paused {
-			d.beats.Suspects.Ended(f, table.EndpointName(fmt.Sprint("engine-", i)))
+			d.beats.Suspects.RecordTermination(f, table.EndpointName(fmt.Sprint("engine-", i)))
 			i++
 		}
 	}
@@ -67,7 +67,7 @@
 
 func (s *simSite) allKeep(f quarantine.Fingerprint, but *simDaemon) bool {
 	for i := range s.daemons {
-		if d := s.daemon(i); d != but && !d.beats.Suspects.Kept(f) {
+		if d := s.daemon(i); d != but && !d.beats.Suspects.IsQuarantined(f) {
 			return false
 		}
 	}
--- a/internal/forward/disconnect_test.go
+++ b/internal/forward/disconnect_test.go
@@ -65,7 +65,7 @@
 			ReceivedAt: now, Deadline: now + 20*time.Second, MaySend: func() *outcome.Refusal { return nil },
 		}, Sink{})
 	}
-	for end := time.Now().Add(20 * time.Second); !f.Quarantine.Kept(1); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); !f.Quarantine.IsQuarantined(1); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the request was not quarantined after its endpoints terminated")
 		}
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -268,5 +268,5 @@
 	case errors.Is(err, ErrTruncated):
 		return "broken " + body.String(), s.sent
 	}
-	return string(outcome.Of(err).Outcome), s.sent
+	return string(outcome.FromError(err).Outcome), s.sent
 }
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -12,7 +12,7 @@
 // checkQuarantine returns a refusal if the request is quarantined. It has no
 // Retry-After, because a retry would be refused as well.
 func (r *run) checkQuarantine() *outcome.Refusal {
-	if !r.f.Quarantine.Kept(r.req.Fingerprint) {
+	if !r.f.Quarantine.IsQuarantined(r.req.Fingerprint) {
 		return nil
 	}
 	r.f.Logger.Info("request kept back", "request", r.req.ID, "fingerprint", r.req.Fingerprint.String(), "class", r.req.Class)
@@ -48,5 +48,5 @@
 		return
 	}
 	f.Metrics.Inc("attempts.endpointEnded")
-	f.Quarantine.Ended(request, endpoint.Name)
+	f.Quarantine.RecordTermination(request, endpoint.Name)
 }
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -125,7 +125,7 @@
 // completely.
 func (r *run) recordAnswered(grant *placement.Grant, e attemptResult) {
 	if e.completed {
-		r.f.Quarantine.Completed(r.req.Fingerprint)
+		r.f.Quarantine.RecordCompletion(r.req.Fingerprint)
 	}
 	took := r.f.Clock.Since(r.began)
 	r.f.Metrics.ObserveClass("answer.ms", string(r.req.Class), took.Milliseconds())
@@ -176,7 +176,7 @@
 	r.f.Metrics.Inc("attempts." + string(e.reason))
 	if e.terminated {
 		r.f.Metrics.Inc("attempts.endpointEnded")
-		r.f.Quarantine.Ended(r.req.Fingerprint, grant.Endpoint.Name)
+		r.f.Quarantine.RecordTermination(r.req.Fingerprint, grant.Endpoint.Name)
 	}
 	r.f.Logger.Info("attempt failed", "request", r.req.ID, "class", r.req.Class, "endpoint", grant.Endpoint.Name,
 		"fingerprint", r.req.Fingerprint.String(), "coordinator", grant.Coordinator(),
@@ -267,7 +267,7 @@
 		return false
 	case r.mayHaveRun >= r.req.Attempts || r.notRun >= maxNotRun:
 		return false
-	case r.f.Quarantine.Kept(r.req.Fingerprint):
+	case r.f.Quarantine.IsQuarantined(r.req.Fingerprint):
 		return false
 	case e.reason == outcome.ReasonConnect:
 		// The endpoint has received nothing, so the next attempt repeats nothing
--- a/internal/forward/unknown_class_test.go
+++ b/internal/forward/unknown_class_test.go
@@ -40,7 +40,7 @@
 		if unknown > maxStaleRetries {
 			want = outcome.ReasonUnknownClass
 		}
-		if got := outcome.Of(err).Reason; got != want {
+		if got := outcome.FromError(err).Reason; got != want {
 			t.Errorf("after %d refusals: %s, want %s", unknown, got, want)
 		}
 	}
--- a/internal/gateway/figures.go
+++ b/internal/gateway/figures.go
@@ -49,7 +49,7 @@
 	cells := g.coordinator.Status().Cells
 	g.metrics.Set("cells.coordinated", int64(len(cells)))
 	g.metrics.Set("endpoints.limited", limitedEndpoints(cells))
-	g.metrics.Set("quarantine.requests", int64(g.suspects.Len()))
+	g.metrics.Set("quarantine.requests", int64(g.suspects.QuarantinedCount()))
 	g.metrics.Set("requests.inProgress", g.inProgress.Load())
 	g.metrics.Set("connections.opened", g.forwarder.Pool.Opened.Load())
 	g.metrics.Set("log.requestsLeftOut", g.sampler.LeftOut())
--- a/internal/gateway/front.go
+++ b/internal/gateway/front.go
@@ -71,7 +71,7 @@
 		g.logger.Warn("answer broken off", "request", req.ID, "class", req.Class, "cause", err.Error())
 		panic(http.ErrAbortHandler)
 	}
-	g.refuse(w, r, &call, outcome.Of(err))
+	g.refuse(w, r, &call, outcome.FromError(err))
 }
 
 // refuse ends a request that no endpoint has answered.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -123,7 +123,7 @@
 	g.view.OnGone = g.hostGone
 	g.view.Count = g.metrics.Inc
 	g.suspects = quarantine.NewList(g.clock)
-	g.suspects.Changed = quarantine.Note(g.logger, g.metrics.Inc)
+	g.suspects.OnChange = quarantine.ReportChanges(g.logger, g.metrics.Inc)
 	g.buildFacts()
 	g.buildPeers()
 	g.buildPlacing()
--- a/internal/heartbeat/exchanger_test.go
+++ b/internal/heartbeat/exchanger_test.go
@@ -239,10 +239,10 @@
 		n.cut[i] = true
 	}
 	for _, e := range s.Ended {
-		n.nodes[e[0]].x.Suspects.Ended(quarantine.Fingerprint(e[1]), table.EndpointName(fmt.Sprintf("engine-%d", e[2])))
+		n.nodes[e[0]].x.Suspects.RecordTermination(quarantine.Fingerprint(e[1]), table.EndpointName(fmt.Sprintf("engine-%d", e[2])))
 	}
 	for _, e := range s.Completed {
-		n.nodes[e[0]].x.Suspects.Completed(quarantine.Fingerprint(e[1]))
+		n.nodes[e[0]].x.Suspects.RecordCompletion(quarantine.Fingerprint(e[1]))
 	}
 	if len(s.Ended)+len(s.Completed) > 0 {
 		n.passUrgent()
@@ -290,12 +290,12 @@
 			n.t.Errorf("%s: minority is %v, want %v", name(nd.number), got, *e.Minority)
 		}
 		for _, f := range e.Kept {
-			if !nd.x.Suspects.Kept(quarantine.Fingerprint(f)) {
+			if !nd.x.Suspects.IsQuarantined(quarantine.Fingerprint(f)) {
 				n.t.Errorf("%s sends request %d", name(nd.number), f)
 			}
 		}
 		for _, f := range e.NotKept {
-			if nd.x.Suspects.Kept(quarantine.Fingerprint(f)) {
+			if nd.x.Suspects.IsQuarantined(quarantine.Fingerprint(f)) {
 				n.t.Errorf("%s keeps request %d back", name(nd.number), f)
 			}
 		}
--- a/internal/heartbeat/suspects.go
+++ b/internal/heartbeat/suspects.go
@@ -20,7 +20,7 @@
 	if x.Suspects == nil {
 		return nil
 	}
-	news := x.Suspects.TakeNews(maxSuspects)
+	news := x.Suspects.TakeUpdates(maxSuspects)
 	if full {
 		news = x.Suspects.All()
 	}
@@ -47,22 +47,22 @@
 	}
 }
 
-func toSuspect(n quarantine.News) *peerv1.Suspect {
+func toSuspect(n quarantine.Update) *peerv1.Suspect {
 	s := &peerv1.Suspect{Fingerprint: uint64(n.Fingerprint), Completed: n.Completed, AgeMs: milliseconds(n.Age)}
-	for _, e := range n.Ended {
+	for _, e := range n.Terminated {
 		s.Ended = append(s.Ended, uint32(e))
 	}
 	return s
 }
 
-func fromSuspect(s *peerv1.Suspect) quarantine.News {
-	n := quarantine.News{
+func fromSuspect(s *peerv1.Suspect) quarantine.Update {
+	n := quarantine.Update{
 		Fingerprint: quarantine.Fingerprint(s.GetFingerprint()),
 		Completed:   s.GetCompleted(),
 		Age:         time.Duration(s.GetAgeMs()) * time.Millisecond,
 	}
 	for _, e := range s.GetEnded() {
-		n.Ended = append(n.Ended, quarantine.EndpointID(e))
+		n.Terminated = append(n.Terminated, quarantine.EndpointID(e))
 	}
 	return n
 }
--- a/internal/http1/ended.go
+++ b/internal/http1/ended.go
@@ -24,7 +24,7 @@
 func (p *Pool) Ended(ctx context.Context, address string) bool {
 	c, err := p.dial(ctx, address)
 	if err != nil {
-		return endpoint.Refused(err)
+		return endpoint.IsConnectionRefused(err)
 	}
 	p.put(address, p.opened(c), defaultIdle)
 	return false
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -95,9 +95,9 @@
 	return &Refusal{Outcome: Unknown, Reason: reason, Message: message}
 }
 
-// Of returns the refusal in err's chain. Any other error is reported as
+// FromError returns the refusal in err's chain. Any other error is reported as
 // internal with an unknown outcome, because the request may have been executed.
-func Of(err error) *Refusal {
+func FromError(err error) *Refusal {
 	if refusal, ok := errors.AsType[*Refusal](err); ok {
 		return refusal
 	}
--- a/internal/placement/choose_test.go
+++ b/internal/placement/choose_test.go
@@ -40,7 +40,7 @@
 	}
 	refused := s.reserve(entry)
 	s.eventually(refused.isDone)
-	if got := outcome.Of(refused.err); got.Reason != outcome.ReasonQueueFull || got.Outcome != outcome.NotRun {
+	if got := outcome.FromError(refused.err); got.Reason != outcome.ReasonQueueFull || got.Outcome != outcome.NotRun {
 		t.Errorf("refused for %s with outcome %s, want a full queue and notRun", got.Reason, got.Outcome)
 	}
 }
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -43,10 +43,10 @@
 type List struct {
 	clock clockwork.Clock
 	wake  chan struct{}
-	// Changed is called when a request is quarantined, and when it is released
+	// OnChange is called when a request is quarantined, and when it is released
 	// because an endpoint has completed it. It must be set before the list is
 	// used and must not call the list.
-	Changed func(f Fingerprint, quarantined bool)
+	OnChange func(f Fingerprint, quarantined bool)
 
 	mu       sync.Mutex
 	suspects map[Fingerprint]*suspect
@@ -87,23 +87,23 @@
 	return &List{
 		clock:     clock,
 		wake:      make(chan struct{}, 1),
-		Changed:   func(Fingerprint, bool) {},
+		OnChange:  func(Fingerprint, bool) {},
 		suspects:  map[Fingerprint]*suspect{},
 		pending:   map[Fingerprint]int{},
 		completed: map[Fingerprint]bool{},
 	}
 }
 
-// Kept reports whether a request is quarantined and must not be sent.
-func (l *List) Kept(f Fingerprint) bool {
+// IsQuarantined reports whether a request is quarantined and must not be sent.
+func (l *List) IsQuarantined(f Fingerprint) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.suspects[f]
 	return s != nil && s.quarantined(l.clock.Now())
 }
 
-// Len returns the number of quarantined requests.
-func (l *List) Len() int {
+// QuarantinedCount returns the number of quarantined requests.
+func (l *List) QuarantinedCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
@@ -115,20 +115,21 @@
 	return n
 }
 
-// Ended records that an endpoint terminated while processing a request.
-func (l *List) Ended(f Fingerprint, endpoint table.EndpointName) {
-	l.Apply(News{Fingerprint: f, Ended: []EndpointID{EndpointIDOf(endpoint)}})
+// RecordTermination records that an endpoint terminated while processing a
+// request.
+func (l *List) RecordTermination(f Fingerprint, endpoint table.EndpointName) {
+	l.Apply(Update{Fingerprint: f, Terminated: []EndpointID{EndpointIDOf(endpoint)}})
 }
 
-// Completed records that an endpoint has completed a request. This shows that
-// the request is not what terminated other endpoints.
-func (l *List) Completed(f Fingerprint) {
+// RecordCompletion records that an endpoint has completed a request. This shows
+// that the request is not what terminated other endpoints.
+func (l *List) RecordCompletion(f Fingerprint) {
 	l.mu.Lock()
 	l.addCompleted(f)
 	tracked := l.suspects[f] != nil
 	l.mu.Unlock()
 	if tracked {
-		l.Apply(News{Fingerprint: f, Completed: true})
+		l.Apply(Update{Fingerprint: f, Completed: true})
 	}
 }
 
@@ -150,8 +151,8 @@
 
 // Apply merges an update. Updates may be applied in any order and repeatedly
 // without losing what is already known.
-func (l *List) Apply(n News) {
-	if n.Age >= retention(len(n.Ended)) {
+func (l *List) Apply(n Update) {
+	if n.Age >= retention(len(n.Terminated)) {
 		return
 	}
 	l.mu.Lock()
@@ -174,16 +175,16 @@
 	}
 	l.mu.Unlock()
 	if after != before {
-		l.Changed(n.Fingerprint, after)
+		l.OnChange(n.Fingerprint, after)
 	}
 }
 
 // merge adds the information in an update that is not known yet, and reports
 // whether there is any.
-func (s *suspect) merge(n News, now time.Time) bool {
+func (s *suspect) merge(n Update, now time.Time) bool {
 	termination := now.Add(-n.Age)
-	terminated := len(n.Ended) > 0 && termination.Sub(s.lastTermination) >= renewalInterval
-	for _, e := range n.Ended {
+	terminated := len(n.Terminated) > 0 && termination.Sub(s.lastTermination) >= renewalInterval
+	for _, e := range n.Terminated {
 		at, known := slices.BinarySearch(s.endpoints, e)
 		if !known && len(s.endpoints) < maxEndpoints {
 			s.endpoints = slices.Insert(s.endpoints, at, e)
--- a/internal/quarantine/list_test.go
+++ b/internal/quarantine/list_test.go
@@ -17,7 +17,7 @@
 // terminated during a request.
 func terminate(l *List, f Fingerprint, from, n int) {
 	for i := range n {
-		l.Ended(f, endpointName(from+i))
+		l.RecordTermination(f, endpointName(from+i))
 	}
 }
 
@@ -26,17 +26,17 @@
 func TestQuarantineAfterThreeEndpoints(t *testing.T) {
 	l := NewList(clockwork.NewFakeClock())
 	for range 5 {
-		l.Ended(1, endpointName(1))
+		l.RecordTermination(1, endpointName(1))
 	}
-	l.Ended(1, endpointName(2))
-	if l.Kept(1) {
+	l.RecordTermination(1, endpointName(2))
+	if l.IsQuarantined(1) {
 		t.Error("quarantined after two endpoints")
 	}
-	l.Ended(1, endpointName(3))
-	if !l.Kept(1) {
+	l.RecordTermination(1, endpointName(3))
+	if !l.IsQuarantined(1) {
 		t.Error("not quarantined after three endpoints")
 	}
-	if l.Kept(2) {
+	if l.IsQuarantined(2) {
 		t.Error("another request is quarantined")
 	}
 }
@@ -49,22 +49,22 @@
 	terminate(l, 1, 0, threshold)
 	for i := range 2 * maxEndpoints {
 		clock.Advance(quarantineDuration)
-		if l.Kept(1) {
+		if l.IsQuarantined(1) {
 			t.Fatal("still quarantined after its quarantine expired")
 		}
-		l.Ended(1, endpointName(threshold+i))
-		if !l.Kept(1) {
+		l.RecordTermination(1, endpointName(threshold+i))
+		if !l.IsQuarantined(1) {
 			t.Fatalf("not quarantined after endpoint %d", threshold+i)
 		}
-		for _, n := range l.TakeNews(1) {
+		for _, n := range l.TakeUpdates(1) {
 			other.Apply(n)
 		}
-		if !other.Kept(1) {
+		if !other.IsQuarantined(1) {
 			t.Fatalf("not quarantined by another daemon after endpoint %d", threshold+i)
 		}
 	}
 	clock.Advance(retentionMany)
-	if l.Digest() != 0 || len(l.All()) != 0 || len(l.TakeNews(1)) != 0 {
+	if l.Digest() != 0 || len(l.All()) != 0 || len(l.TakeUpdates(1)) != 0 {
 		t.Error("still tracked after its retention period")
 	}
 }
@@ -95,10 +95,10 @@
 	l := NewList(clockwork.NewFakeClock())
 	terminate(l, 1, 0, threshold)
 	for f := range 3 * maxSuspects {
-		l.Ended(Fingerprint(2+f), endpointName(1))
+		l.RecordTermination(Fingerprint(2+f), endpointName(1))
 	}
 	for f := range 3 * maxCompleted {
-		l.Completed(Fingerprint(f))
+		l.RecordCompletion(Fingerprint(f))
 	}
 	if n := len(l.suspects); n > maxSuspects {
 		t.Errorf("%d requests are tracked", n)
@@ -118,10 +118,10 @@
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		clock := clockwork.NewFakeClock()
-		var updates []News
+		var updates []Update
 		for range 4 * maxSuspects {
-			n := News{Fingerprint: Fingerprint(random.IntN(2 * maxSuspects)), Completed: random.IntN(8) == 0}
-			n.Ended = []EndpointID{EndpointID(random.IntN(5))}
+			n := Update{Fingerprint: Fingerprint(random.IntN(2 * maxSuspects)), Completed: random.IntN(8) == 0}
+			n.Terminated = []EndpointID{EndpointID(random.IntN(5))}
 			updates = append(updates, n)
 		}
 		a, b := NewList(clock), NewList(clock)
--- a/internal/quarantine/outage_test.go
+++ b/internal/quarantine/outage_test.go
@@ -70,7 +70,7 @@
 // send places a request on a random endpoint that has not terminated, unless
 // the request is quarantined.
 func (o *outage) send(r *inFlight) {
-	if o.list.Kept(r.fingerprint) {
+	if o.list.IsQuarantined(r.fingerprint) {
 		o.refused++
 		return
 	}
@@ -92,7 +92,7 @@
 				unfinished = append(unfinished, r)
 				continue
 			}
-			o.list.Completed(r.fingerprint)
+			o.list.RecordCompletion(r.fingerprint)
 			done++
 		}
 		o.running[e] = unfinished
@@ -111,7 +111,7 @@
 		o.alive[i] = o.alive[len(o.alive)-1]
 		o.alive = o.alive[:len(o.alive)-1]
 		for _, r := range o.running[e] {
-			o.list.Ended(r.fingerprint, endpointName(e))
+			o.list.RecordTermination(r.fingerprint, endpointName(e))
 		}
 		interrupted = append(interrupted, o.running[e]...)
 		o.running[e] = nil
--- a/internal/quarantine/report.go
+++ b/internal/quarantine/report.go
@@ -5,9 +5,9 @@
 // Message is the explanation given for a quarantined request.
 const Message = "endpoints have ended under this request"
 
-// Note returns a callback for List.Changed that logs and counts when a request
-// is quarantined or released.
-func Note(logger *slog.Logger, count func(name string)) func(Fingerprint, bool) {
+// ReportChanges returns a callback for List.OnChange that logs and counts when
+// a request is quarantined or released.
+func ReportChanges(logger *slog.Logger, count func(name string)) func(Fingerprint, bool) {
 	return func(f Fingerprint, quarantined bool) {
 		if quarantined {
 			count("quarantine.begun")
--- a/internal/quarantine/update.go
+++ b/internal/quarantine/update.go
@@ -19,12 +19,12 @@
 	return EndpointID(xxhash.Sum64String(string(name)))
 }
 
-// News is the update about one request that daemons send to each other.
-type News struct {
+// Update is what daemons send to each other about one request.
+type Update struct {
 	Fingerprint Fingerprint
-	// Ended lists the endpoints that terminated during the request, in
+	// Terminated lists the endpoints that terminated during the request, in
 	// ascending order.
-	Ended []EndpointID
+	Terminated []EndpointID
 	// Completed is set if an endpoint has completed the request.
 	Completed bool
 	// Age is the time since the last endpoint terminated.
@@ -40,9 +40,9 @@
 // sent immediately.
 func (l *List) Wake() <-chan struct{} { return l.wake }
 
-// TakeNews returns up to n updates to send in one message. Those with the most
-// terminated endpoints come first, then those sent the fewest times.
-func (l *List) TakeNews(n int) []News {
+// TakeUpdates returns up to n updates to send in one message. Those with the
+// most terminated endpoints come first, then those sent the fewest times.
+func (l *List) TakeUpdates(n int) []Update {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sweep()
@@ -56,7 +56,7 @@
 			cmp.Compare(l.pending[b], l.pending[a]),
 			cmp.Compare(a, b))
 	})
-	updates := make([]News, 0, min(n, len(pending)))
+	updates := make([]Update, 0, min(n, len(pending)))
 	for _, f := range pending[:min(n, len(pending))] {
 		updates = append(updates, l.updateOf(f))
 		l.pending[f]--
@@ -68,20 +68,20 @@
 }
 
 // All returns an update about every tracked request.
-func (l *List) All() []News {
+func (l *List) All() []Update {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sweep()
-	updates := make([]News, 0, len(l.suspects))
+	updates := make([]Update, 0, len(l.suspects))
 	for f := range l.suspects {
 		updates = append(updates, l.updateOf(f))
 	}
 	return updates
 }
 
-func (l *List) updateOf(f Fingerprint) News {
+func (l *List) updateOf(f Fingerprint) Update {
 	s := l.suspects[f]
-	return News{Fingerprint: f, Ended: slices.Clone(s.endpoints), Completed: s.completed, Age: l.clock.Since(s.lastTermination)}
+	return Update{Fingerprint: f, Terminated: slices.Clone(s.endpoints), Completed: s.completed, Age: l.clock.Since(s.lastTermination)}
 }
 
 // Digest returns a hash of all tracked requests, or zero if there are none.
--- a/internal/service/client.go
+++ b/internal/service/client.go
@@ -110,7 +110,7 @@
 }
 
 // read checks the answer and reads it whole.
-func (c *Client) read(e *table.Endpoint, id string, answer *endpoint.Answer) (*Response, error) {
+func (c *Client) read(e *table.Endpoint, id string, answer *endpoint.Response) (*Response, error) {
 	if e.EchoesID && answer.Header.Get(headerRequestID) != id {
 		answer.Discard()
 		return nil, ErrWrongAnswer
