--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -42,14 +42,14 @@
 
 // Store reads and writes claims. It is safe for concurrent use.
 type Store struct {
-	// Gone reports whether an incarnation is no longer known to be alive. It
-	// only affects how a repeated request is refused, never which daemon may
+	// HolderGone reports whether an incarnation is no longer known to be alive.
+	// It only affects how a repeated request is refused, never which daemon may
 	// execute the request.
-	Gone func(Holder) bool
-	// MaxUnsettled is the maximum size in bytes of the responses that wait to
-	// be stored. Responses beyond it are dropped, and repeated requests are
+	HolderGone func(Holder) bool
+	// MaxPendingBytes is the maximum size in bytes of the responses that wait
+	// to be stored. Responses beyond it are dropped, and repeated requests are
 	// told that the outcome is unknown.
-	MaxUnsettled int
+	MaxPendingBytes int
 
 	clock   clockwork.Clock
 	client  *platform.Client
@@ -66,12 +66,12 @@
 // NewStore returns a store for one incarnation of a daemon.
 func NewStore(clock clockwork.Clock, client *platform.Client, holder Holder, metrics *metric.Registry) *Store {
 	return &Store{
-		Gone:         func(Holder) bool { return false },
-		MaxUnsettled: defaultMaxPendingBytes,
-		clock:        clock,
-		client:       client,
-		holder:       holder,
-		metrics:      metrics,
+		HolderGone:      func(Holder) bool { return false },
+		MaxPendingBytes: defaultMaxPendingBytes,
+		clock:           clock,
+		client:          client,
+		holder:          holder,
+		metrics:         metrics,
 	}
 }
 
@@ -162,7 +162,7 @@
 	switch {
 	case stored.BodyHash != c.record.BodyHash:
 		return nil, outcome.NotRunError(outcome.ReasonOtherBody, "the key was used with another method, path or body")
-	case stored.State == Running && s.clock.Since(stored.At) > holderGoneDelay && s.Gone(stored.Holder):
+	case stored.State == Running && s.clock.Since(stored.At) > holderGoneDelay && s.HolderGone(stored.Holder):
 		s.metrics.Inc("claim.holderGone")
 		return nil, unknown("the host that held the request is gone")
 	case stored.State == Running && s.clock.Since(stored.At) > maxRunningTime:
--- a/internal/claim/finalwrite.go
+++ b/internal/claim/finalwrite.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// defaultMaxPendingBytes is the default of Store.MaxUnsettled.
+	// defaultMaxPendingBytes is the default of Store.MaxPendingBytes.
 	defaultMaxPendingBytes = 32 << 20
 	// retryInterval is the maximum time between rounds of retries. Jitter
 	// shortens it by up to half.
@@ -100,7 +100,7 @@
 func (s *Store) enqueue(e *finalWrite) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.pendingBytes+e.size() > s.MaxUnsettled {
+	if s.pendingBytes+e.size() > s.MaxPendingBytes {
 		s.metrics.Inc("claim.answerDropped")
 		e.record.State = Unknown
 		e.record.Response = nil
@@ -110,8 +110,8 @@
 	s.metrics.Set("claim.unsettled", int64(len(s.pending)))
 }
 
-// Unsettled returns the number of final writes that are not stored yet.
-func (s *Store) Unsettled() int {
+// PendingCount returns the number of final writes that are not stored yet.
+func (s *Store) PendingCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.pending)
@@ -126,15 +126,15 @@
 		case <-ctx.Done():
 			return
 		case <-s.clock.After(wait):
-			s.Settle(ctx)
+			s.RetryPending(ctx)
 		}
 	}
 }
 
-// Settle retries up to retryBatch queued final writes, oldest first. It stops
-// when the platform is unavailable, since the remaining writes would fail as
-// well.
-func (s *Store) Settle(ctx context.Context) {
+// RetryPending retries up to retryBatch queued final writes, oldest first. It
+// stops when the platform is unavailable, since the remaining writes would fail
+// as well.
+func (s *Store) RetryPending(ctx context.Context) {
 	for range retryBatch {
 		s.mu.Lock()
 		if len(s.pending) == 0 {
@@ -150,8 +150,8 @@
 	}
 }
 
-// dequeue removes the oldest final write. Only Settle calls it, and only one
-// Settle runs at a time.
+// dequeue removes the oldest final write. Only RetryPending calls it, and only
+// one RetryPending runs at a time.
 func (s *Store) dequeue(e *finalWrite) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/claim/history_test.go
+++ b/internal/claim/history_test.go
@@ -146,7 +146,7 @@
 
 // Checks that the model rejects the histories of a store whose claims are not
 // conditional writes.
-func TestUnconditionalClaimIsCaught(t *testing.T) {
+func TestModelRejectsUnconditionalClaims(t *testing.T) {
 	expect := regexp.MustCompile(`"expect":\d+`)
 	for seed := range uint64(seeds) {
 		var p *standin.Platform
@@ -166,7 +166,7 @@
 // Checks that the model rejects the histories of a store that does not
 // recognize its own attempt when it reads the row back: it treats its own claim
 // as another daemon's, so the claim is never ended.
-func TestClaimWithoutReadBackIsCaught(t *testing.T) {
+func TestModelRejectsClaimsWithoutReadBack(t *testing.T) {
 	attempt := []byte(`"attempt":"`)
 	corruptAttempt := func(body []byte) []byte {
 		if bytes.Contains(body, []byte(`"committed":false`)) {
@@ -255,8 +255,8 @@
 func (a *worker) finishOp(op, key string, n int, do func()) {
 	call := a.recorder.now()
 	do()
-	for a.store.Unsettled() > 0 {
-		a.store.Settle(context.Background())
+	for a.store.PendingCount() > 0 {
+		a.store.RetryPending(context.Background())
 		time.Sleep(time.Millisecond)
 	}
 	a.recorder.record(a.id, input{key: key, op: op, attempt: n}, call, output{})
--- a/internal/claim/script_test.go
+++ b/internal/claim/script_test.go
@@ -96,7 +96,7 @@
 		// The platform client waits on the real clock between retries.
 		client := platform.NewClient(server.URL, transport, time.Minute).For(platform.UseClaims)
 		s := claim.NewStore(r.clock, client, holder, metric.NewRegistry())
-		s.Gone = func(h claim.Holder) bool { return r.daemons[h.Host].gone }
+		s.HolderGone = func(h claim.Holder) bool { return r.daemons[h.Host].gone }
 		r.daemons[name] = &testDaemon{store: s, transport: transport, holder: holder, claims: map[string]*claim.Claim{}}
 	}
 	return r
@@ -117,10 +117,10 @@
 	case "release":
 		d.store.Release(r.t.Context(), d.claims[key])
 	case "settle":
-		d.store.Settle(r.t.Context())
+		d.store.RetryPending(r.t.Context())
 	case "settleAll":
-		for d.store.Unsettled() > 0 {
-			d.store.Settle(r.t.Context())
+		for d.store.PendingCount() > 0 {
+			d.store.RetryPending(r.t.Context())
 			time.Sleep(10 * time.Millisecond)
 		}
 	case "hold":
@@ -253,11 +253,11 @@
 // Guards against unbounded memory use when many large responses wait for a
 // platform that is down. Responses beyond the limit are dropped, and repeated
 // requests are told that the outcome is unknown.
-func TestUnsettledAnswersAreBounded(t *testing.T) {
+func TestPendingResponsesAreBounded(t *testing.T) {
 	r := newHarness(t)
 	d := r.daemons["a"]
 	const size = 64 << 10
-	d.store.MaxUnsettled = 4 * size
+	d.store.MaxPendingBytes = 4 * size
 	begin := func(i int) (*claim.Claim, error) {
 		return d.store.Begin(t.Context(), claim.Scope{Account: "studio", Service: "booking", Key: fmt.Sprint(i)}, nil)
 	}
@@ -274,8 +274,8 @@
 		d.store.Finish(t.Context(), c, claim.Done, &service.Response{Status: http.StatusOK, Body: make([]byte, size)})
 	}
 	r.platform.SetFaults(standin.PlatformFaults{})
-	for d.store.Unsettled() > 0 {
-		d.store.Settle(t.Context())
+	for d.store.PendingCount() > 0 {
+		d.store.RetryPending(t.Context())
 		time.Sleep(10 * time.Millisecond)
 	}
 	for i := range claims {
--- a/internal/daemon/claims.go
+++ b/internal/daemon/claims.go
@@ -22,7 +22,7 @@
 	self := d.view.Self()
 	holder := claim.Holder{Host: string(self.ID), Incarnation: self.Incarnation}
 	s := claim.NewStore(d.clock, d.platform.For(platform.UseClaims), holder, d.metrics)
-	s.Gone = func(h claim.Holder) bool {
+	s.HolderGone = func(h claim.Holder) bool {
 		known, ok := d.view.Hosts().Find(membership.HostID(h.Host))
 		return !ok || known.Incarnation != h.Incarnation
 	}
@@ -31,9 +31,9 @@
 
 // sweepClaims deletes old claims while this daemon holds the lease for it.
 func (d *Daemon) sweepClaims(ctx context.Context) {
-	keeper := lease.NewKeeper(d.newLeases(), sweepLease)
+	keeper := lease.NewRenewer(d.newLeases(), sweepLease)
 	d.claims.Sweep(ctx, func(ctx context.Context) bool {
-		return keeper.Hold(ctx, 0)
+		return keeper.EnsureHeld(ctx, 0)
 	})
 }
 
@@ -44,7 +44,7 @@
 // awaitClaims waits until the ends of this daemon's claims are stored.
 func (d *Daemon) awaitClaims(ctx context.Context) {
 	until := d.clock.Now().Add(claimsLinger)
-	for d.claims.Unsettled() > 0 && d.clock.Now().Before(until) {
+	for d.claims.PendingCount() > 0 && d.clock.Now().Before(until) {
 		select {
 		case <-ctx.Done():
 			return
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -64,7 +64,7 @@
 	hostList    hostList
 	cells       *cellhost.Host
 	owner       *limit.Owner
-	limits      *limit.Keeper
+	limits      *limit.Limiter
 
 	callers   *http.Server
 	operators *http.Server
@@ -126,7 +126,7 @@
 	d.placer = placement.NewPlacer(d.clock, d.view, d.cells.Dial, d.metrics, size, s.Policy)
 	d.placer.OnShareChange = d.coordinator.SetShare
 	d.owner = limit.NewOwner(d.clock, d.view.Self().ID)
-	d.limits = limit.NewKeeper(d.clock, d.view, d.askOwner, d.metrics)
+	d.limits = limit.NewLimiter(d.clock, d.view, d.askOwner, d.metrics)
 	d.claims = d.newClaims()
 	d.keeper.Watch(d.adopted)
 	d.buildServers()
--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -9,7 +9,7 @@
 )
 
 // askOwner asks the owner of some limits for slices; it may be this daemon.
-func (d *Daemon) askOwner(ctx context.Context, owner membership.Host, holder limit.Holder, wants []limit.Want) ([]int, bool) {
+func (d *Daemon) askOwner(ctx context.Context, owner membership.Host, holder limit.Holder, wants []limit.SliceRequest) ([]int, bool) {
 	if owner.ID == d.view.Self().ID {
 		return d.owner.Grant(holder, wants)
 	}
@@ -24,7 +24,7 @@
 	return granted, true
 }
 
-func slicesRequest(holder limit.Holder, wants []limit.Want) *peerv1.AcquireSlicesRequest {
+func slicesRequest(holder limit.Holder, wants []limit.SliceRequest) *peerv1.AcquireSlicesRequest {
 	req := &peerv1.AcquireSlicesRequest{
 		Host:        string(holder.Host),
 		Incarnation: holder.Incarnation,
@@ -48,13 +48,13 @@
 		Incarnation: req.GetIncarnation(),
 		Sequence:    req.GetSequence(),
 	}
-	var wants []limit.Want
+	var wants []limit.SliceRequest
 	for _, w := range req.GetWants() {
 		key, ok := limit.ParseKey(w.GetLimit())
 		if !ok {
 			return &peerv1.AcquireSlicesResponse{NotOwner: true}
 		}
-		wants = append(wants, limit.Want{
+		wants = append(wants, limit.SliceRequest{
 			Key:     key,
 			Wanted:  int(w.GetWanted()),
 			InUse:   int(w.GetInUse()),
--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -15,7 +15,7 @@
 	return &order.Reconciler{
 		Clock:   d.clock,
 		Metrics: d.metrics,
-		Mine: func(g order.Group) bool {
+		OwnsGroup: func(g order.Group) bool {
 			position, ok := d.view.Ready().Order(g.Name()).Position(d.view.Self().ID)
 			return ok && position == 0
 		},
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -23,7 +23,7 @@
 // Dispatcher executes requests. It is safe for concurrent use.
 type Dispatcher struct {
 	clock    clockwork.Clock
-	limits   *limit.Keeper
+	limits   *limit.Limiter
 	placer   *placement.Placer
 	engines  *engine.Client
 	services *service.Client
@@ -33,7 +33,7 @@
 }
 
 // NewDispatcher returns a dispatcher.
-func NewDispatcher(clock clockwork.Clock, limits *limit.Keeper, placer *placement.Placer, engines *engine.Client, services *service.Client, suspects *quarantine.List, metrics *metric.Registry) *Dispatcher {
+func NewDispatcher(clock clockwork.Clock, limits *limit.Limiter, placer *placement.Placer, engines *engine.Client, services *service.Client, suspects *quarantine.List, metrics *metric.Registry) *Dispatcher {
 	return &Dispatcher{
 		clock:    clock,
 		limits:   limits,
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -49,9 +49,9 @@
 	// Fence is the fencing number. It is larger than that of any earlier holder
 	// and does not change on renewal.
 	Fence uint64
-	// Taken is when the lease was acquired, measured before the request was
-	// sent.
-	Taken time.Time
+	// AcquiredAt is when the lease was acquired, measured before the request
+	// was sent.
+	AcquiredAt time.Time
 
 	name string
 	// version is the last known version of the row.
@@ -99,7 +99,7 @@
 	if err := h.checkAvailable(name, row); err != nil {
 		return nil, errors.Wrapf(err, "acquire lease %s", name)
 	}
-	l = &Lease{Fence: row.Version + 1, Taken: h.clock.Now(), name: name, version: row.Version}
+	l = &Lease{Fence: row.Version + 1, AcquiredAt: h.clock.Now(), name: name, version: row.Version}
 	if err := h.writeRow(ctx, l, Duration); err != nil {
 		return nil, errors.Wrapf(err, "acquire lease %s", name)
 	}
@@ -143,9 +143,9 @@
 	return nil
 }
 
-// GiveUp releases a lease, so that another holder need not wait until it
+// Release releases a lease, so that another holder need not wait until it
 // expires.
-func (h *Holder) GiveUp(ctx context.Context, l *Lease) (err error) {
+func (h *Holder) Release(ctx context.Context, l *Lease) (err error) {
 	err = h.writeRow(ctx, l, 0)
 	l.requestedAt = time.Time{}
 	if err != nil {
--- a/internal/limit/keeper.go
+++ b/internal/limit/limiter.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// refreshInterval is how often the keeper updates its demand estimates and
+	// refreshInterval is how often the limiter updates its demand estimates and
 	// renews slices that are due.
 	refreshInterval = 300 * time.Millisecond
 	// reportInterval is how often the requests in progress are reported to an
@@ -30,17 +30,17 @@
 	smoothingFactor = 0.5
 )
 
-// Ask requests slices from the owner of some limits. It returns one number for
-// each want, in order, or false if the owner did not respond or rejected the
-// call.
-type Ask func(ctx context.Context, owner membership.Host, holder Holder, wants []Want) ([]int, bool)
+// AcquireFunc requests slices from the owner of some limits. It returns one
+// number for each request, in order, or false if the owner did not respond or
+// rejected the call.
+type AcquireFunc func(ctx context.Context, owner membership.Host, holder Holder, wants []SliceRequest) ([]int, bool)
 
-// Keeper admits requests within the slices that this daemon holds. It is safe
+// Limiter admits requests within the slices that this daemon holds. It is safe
 // for concurrent use.
-type Keeper struct {
+type Limiter struct {
 	clock         clockwork.Clock
 	view          *membership.View
-	acquireSlices Ask
+	acquireSlices AcquireFunc
 	metrics       *metric.Registry
 
 	mu     sync.Mutex
@@ -86,7 +86,7 @@
 // report records a slice request sent to an owner.
 type report struct {
 	owner   hostIncarnation
-	request Want
+	request SliceRequest
 	sentAt  time.Time
 }
 
@@ -114,9 +114,9 @@
 	unanswered
 )
 
-// NewKeeper returns a keeper that holds no slices.
-func NewKeeper(clock clockwork.Clock, view *membership.View, ask Ask, metrics *metric.Registry) *Keeper {
-	return &Keeper{
+// NewLimiter returns a limiter that holds no slices.
+func NewLimiter(clock clockwork.Clock, view *membership.View, ask AcquireFunc, metrics *metric.Registry) *Limiter {
+	return &Limiter{
 		clock:         clock,
 		view:          view,
 		acquireSlices: ask,
@@ -130,7 +130,7 @@
 // returned function releases the permits; calling it more than once has no
 // effect. The error is a refusal: the owner granted no permit, or no owner
 // responded.
-func (k *Keeper) Admit(ctx context.Context, cl *table.Class, account table.AccountName) (done func(), err error) {
+func (k *Limiter) Admit(ctx context.Context, cl *table.Class, account table.AccountName) (done func(), err error) {
 	keys := keysOf(cl, account)
 	k.addUpcoming(keys)
 	taken := 0
@@ -153,7 +153,7 @@
 
 // addUpcoming registers that a request will need the limits, so that one call
 // to an owner can cover all limits of the request that it owns.
-func (k *Keeper) addUpcoming(keys []Key) {
+func (k *Limiter) addUpcoming(keys []Key) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.clock.Now()
@@ -170,7 +170,7 @@
 }
 
 // removeUpcoming undoes addUpcoming for limits that the request will not reach.
-func (k *Keeper) removeUpcoming(keys []Key) {
+func (k *Limiter) removeUpcoming(keys []Key) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, key := range keys {
@@ -180,7 +180,7 @@
 
 // admitOne admits a request to one limit for which addUpcoming was called. If
 // the local slice is used up, it asks the owner and waits.
-func (k *Keeper) admitOne(ctx context.Context, key Key) error {
+func (k *Limiter) admitOne(ctx context.Context, key Key) error {
 	k.mu.Lock()
 	l := k.limits[key]
 	l.upcoming--
@@ -196,7 +196,7 @@
 }
 
 // waitForOwner waits until the owner's response resolves w or ctx ends.
-func (k *Keeper) waitForOwner(ctx context.Context, key Key, l *localLimit, w *waiter) error {
+func (k *Limiter) waitForOwner(ctx context.Context, key Key, l *localLimit, w *waiter) error {
 	select {
 	case v := <-w.result:
 		return v.toError(key)
@@ -241,7 +241,7 @@
 
 // release returns a permit to a concurrency limit. Admissions by rate are not
 // refunded.
-func (k *Keeper) release(key Key) {
+func (k *Limiter) release(key Key) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if l := k.limits[key]; l != nil {
@@ -298,16 +298,16 @@
 
 // sliceRequest returns the request to send to the owner. For a rate limit it
 // covers the waiting requests and those expected before the next refresh.
-func (l *localLimit) sliceRequest(key Key, now time.Time) Want {
+func (l *localLimit) sliceRequest(key Key, now time.Time) SliceRequest {
 	if key.Kind == Concurrency {
-		w := Want{Key: key, Wanted: max(l.inUse+len(l.waiters)+l.upcoming, l.peakInUse), InUse: l.inUse}
+		w := SliceRequest{Key: key, Wanted: max(l.inUse+len(l.waiters)+l.upcoming, l.peakInUse), InUse: l.inUse}
 		if now.Before(l.expiresAt) {
 			w.Holding = l.slice
 		}
 		return w
 	}
 	expected := max(int(l.demand), l.upcoming)
-	return Want{Key: key, Wanted: max(len(l.waiters)+expected-l.rateRemaining(now), 0)}
+	return SliceRequest{Key: key, Wanted: max(len(l.waiters)+expected-l.rateRemaining(now), 0)}
 }
 
 // hasUnrequested reports whether a request waits that no call has included.
--- a/internal/limit/owner.go
+++ b/internal/limit/owner.go
@@ -20,8 +20,8 @@
 	bucketIdleTimeout = time.Minute
 )
 
-// Want is a request for a slice of one limit.
-type Want struct {
+// SliceRequest is a request for a slice of one limit.
+type SliceRequest struct {
 	Key Key
 	// Wanted is how many requests the holder wants to admit: new requests for a
 	// rate limit, all requests in progress for a concurrency limit.
@@ -98,12 +98,12 @@
 	}
 }
 
-// Grant handles the wants of a holder and returns what it grants, in the same
-// order. The slices are valid for SliceLifetime. The result is false if this
-// daemon, according to its view of the hosts, does not own one of the limits,
-// or if a later call of the holder has already been processed: the wants are
-// then out of date.
-func (o *Owner) Grant(holder Holder, wants []Want) (granted []int, ok bool) {
+// Grant handles the slice requests of a holder and returns what it grants, in
+// the same order. The slices are valid for SliceLifetime. The result is false
+// if this daemon, according to its view of the hosts, does not own one of the
+// limits, or if a later call of the holder has already been processed: the
+// requests are then out of date.
+func (o *Owner) Grant(holder Holder, wants []SliceRequest) (granted []int, ok bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if !o.recordCall(holder) {
@@ -138,7 +138,7 @@
 	return true
 }
 
-func (o *Owner) grant(now time.Time, host membership.HostID, w Want, share float64, since time.Time) int {
+func (o *Owner) grant(now time.Time, host membership.HostID, w SliceRequest, share float64, since time.Time) int {
 	if o.table == nil {
 		return 0
 	}
@@ -213,7 +213,7 @@
 // above the limit. The sum may already be above it, for example after the limit
 // was lowered: requests in progress can't be taken back, so a smaller slice
 // only keeps its holder from admitting more.
-func (p *allocation) grant(now time.Time, host membership.HostID, limit int, w Want) int {
+func (p *allocation) grant(now time.Time, host membership.HostID, limit int, w SliceRequest) int {
 	others := 0
 	wanted := map[membership.HostID]int{host: w.Wanted}
 	for id, s := range p.slices {
--- a/internal/limit/renew.go
+++ b/internal/limit/renew.go
@@ -12,7 +12,7 @@
 
 // owners returns the owner of each shard according to this daemon's view of the
 // hosts.
-func (k *Keeper) owners() [shardCount]membership.Host {
+func (k *Limiter) owners() [shardCount]membership.Host {
 	hosts := k.view.Ready()
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -32,7 +32,7 @@
 }
 
 // Run refreshes slices at regular intervals until ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Limiter) Run(ctx context.Context) {
 	ticker := k.clock.NewTicker(refreshInterval)
 	defer ticker.Stop()
 	for {
@@ -40,14 +40,14 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.Chan():
-			k.Review(ctx)
+			k.Refresh(ctx)
 		}
 	}
 }
 
-// Review updates the demand estimates, requests the slices that are due, and
+// Refresh updates the demand estimates, requests the slices that are due, and
 // deletes idle limits.
-func (k *Keeper) Review(ctx context.Context) {
+func (k *Limiter) Refresh(ctx context.Context) {
 	shardOwners := k.owners()
 	dueOwners := map[membership.HostID]membership.Host{}
 	k.mu.Lock()
@@ -77,7 +77,7 @@
 }
 
 // requestNow requests slices from the owner of a limit immediately.
-func (k *Keeper) requestNow(ctx context.Context, key Key) {
+func (k *Limiter) requestNow(ctx context.Context, key Key) {
 	h := k.owners()[shardOf(key)]
 	if h.ID == "" {
 		k.mu.Lock()
@@ -93,7 +93,7 @@
 // callOwner requests slices of all limits that a host owns. Only one call to an
 // owner is in flight at a time; requests that arrive during a call are included
 // in the next one.
-func (k *Keeper) callOwner(ctx context.Context, h membership.Host) {
+func (k *Limiter) callOwner(ctx context.Context, h membership.Host) {
 	k.mu.Lock()
 	if k.inFlight[h.ID] {
 		k.mu.Unlock()
@@ -109,7 +109,7 @@
 // requests arrived too late for this one. If not, it clears the owner's entry
 // in inFlight. The late requests may need limits that the call did not include,
 // so all limits of the owner are checked.
-func (k *Keeper) callOwnerOnce(ctx context.Context, h membership.Host) (again bool) {
+func (k *Limiter) callOwnerOnce(ctx context.Context, h membership.Host) (again bool) {
 	shardOwners := k.owners()
 	k.mu.Lock()
 	sent := k.clock.Now()
@@ -143,7 +143,7 @@
 
 // hasUnrequested reports whether requests wait for limits of an owner that no
 // call has included.
-func (k *Keeper) hasUnrequested(id membership.HostID, shardOwners *[shardCount]membership.Host) bool {
+func (k *Limiter) hasUnrequested(id membership.HostID, shardOwners *[shardCount]membership.Host) bool {
 	for key, l := range k.limits {
 		if shardOwners[shardOf(key)].ID == id && l.hasUnrequested() {
 			return true
@@ -152,10 +152,10 @@
 	return false
 }
 
-// sliceRequests returns the wants for the owner's limits that are due or have
-// waiting requests, and marks those requests as requested.
-func (k *Keeper) sliceRequests(h membership.Host, shardOwners *[shardCount]membership.Host, now time.Time) []Want {
-	var wants []Want
+// sliceRequests returns the slice requests for the owner's limits that are due
+// or have waiting requests, and marks those requests as requested.
+func (k *Limiter) sliceRequests(h membership.Host, shardOwners *[shardCount]membership.Host, now time.Time) []SliceRequest {
+	var wants []SliceRequest
 	for key, l := range k.limits {
 		if shardOwners[shardOf(key)].ID != h.ID {
 			continue
@@ -174,7 +174,7 @@
 }
 
 // handleResponse applies the owner's response for one limit.
-func (k *Keeper) handleResponse(key Key, sent time.Time, granted int, answered bool) {
+func (k *Limiter) handleResponse(key Key, sent time.Time, granted int, answered bool) {
 	l := k.limits[key]
 	if l == nil {
 		return
--- a/internal/limit/scenario_test.go
+++ b/internal/limit/scenario_test.go
@@ -68,11 +68,11 @@
 }
 
 type node struct {
-	number int
-	view   *membership.View
-	keeper *Keeper
-	owner  *Owner
-	stop   context.CancelFunc
+	number  int
+	view    *membership.View
+	limiter *Limiter
+	owner   *Owner
+	stop    context.CancelFunc
 	// A node that is down is stopped; a paused one keeps its state. Neither
 	// sends or receives.
 	down, paused bool
@@ -90,13 +90,13 @@
 	n := &node{number: i, view: membership.NewView(f.clock, self), stop: cancel}
 	n.owner = NewOwner(f.clock, self.ID)
 	n.owner.Configure(f.table)
-	n.keeper = NewKeeper(f.clock, n.view, func(ctx context.Context, h membership.Host, holder Holder, wants []Want) ([]int, bool) {
+	n.limiter = NewLimiter(f.clock, n.view, func(ctx context.Context, h membership.Host, holder Holder, wants []SliceRequest) ([]int, bool) {
 		return f.callOwner(ctx, n, h, holder, wants)
 	}, metric.NewRegistry())
 	f.mu.Lock()
 	f.nodes[i] = n
 	f.mu.Unlock()
-	go n.keeper.Run(ctx)
+	go n.limiter.Run(ctx)
 	go f.gossip(ctx, n)
 	go f.generateLoad(ctx, n)
 }
@@ -131,7 +131,7 @@
 }
 
 // callOwner delivers a call to an owner, with a delay in each direction.
-func (f *cluster) callOwner(ctx context.Context, from *node, h membership.Host, holder Holder, wants []Want) ([]int, bool) {
+func (f *cluster) callOwner(ctx context.Context, from *node, h membership.Host, holder Holder, wants []SliceRequest) ([]int, bool) {
 	f.mu.Lock()
 	delay := time.Duration(1+f.rng.IntN(40)) * time.Millisecond
 	lost := f.rng.IntN(100) < f.sc.LossPercent
@@ -179,7 +179,7 @@
 }
 
 func (f *cluster) sendRequest(ctx context.Context, n *node, cl *table.Class, account table.AccountName) {
-	done, err := n.keeper.Admit(ctx, cl, account)
+	done, err := n.limiter.Admit(ctx, cl, account)
 	if err != nil {
 		return
 	}
@@ -250,7 +250,7 @@
 // owners' responses are lost. Several daemons may then consider themselves the
 // owner of the same limit; each grants only the share of the hosts that it can
 // reach, and slices expire.
-func TestLimitsHoldOverAllDaemons(t *testing.T) {
+func TestLimitsEnforcedAcrossDaemons(t *testing.T) {
 	data, err := os.ReadFile("testdata/scenarios.json")
 	if err != nil {
 		t.Fatal(err)
@@ -299,7 +299,7 @@
 // progress. Each of many accounts has its own rate and concurrency limit, and
 // every request takes ten seconds, so that each daemon has a hundred requests
 // in progress, as at the size that the system is designed for.
-func TestAsksGrowWithArrivalsOnly(t *testing.T) {
+func TestOwnerCallsScaleWithArrivals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const hosts, rate, seconds = 14, 10, 30
 		sc := scenario{Hosts: hosts, Seconds: seconds, Seed: 7, HoldMs: 10000, Accounts: 100}
@@ -325,11 +325,11 @@
 // for another limit of the same owner is in flight, and no later event would
 // trigger a call. It must be included in a call as soon as the current one
 // ends.
-func TestLateComerIsAskedForNext(t *testing.T) {
+func TestRequestDuringOwnerCallIsSentNext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := clockwork.NewRealClock()
 		view := membership.NewView(clock, membership.Host{ID: "h", Incarnation: 1, State: membership.Ready})
-		ask := func(_ context.Context, _ membership.Host, _ Holder, wants []Want) ([]int, bool) {
+		ask := func(_ context.Context, _ membership.Host, _ Holder, wants []SliceRequest) ([]int, bool) {
 			time.Sleep(50 * time.Millisecond)
 			granted := make([]int, len(wants))
 			for i, w := range wants {
@@ -337,7 +337,7 @@
 			}
 			return granted, true
 		}
-		k := NewKeeper(clock, view, ask, metric.NewRegistry())
+		k := NewLimiter(clock, view, ask, metric.NewRegistry())
 		limits := table.Limits{Concurrency: 1}
 		admitted := make(chan error, 2)
 		for i, name := range []table.ClassName{"first", "second"} {
--- a/internal/order/group.go
+++ b/internal/order/group.go
@@ -38,7 +38,7 @@
 	id Group
 
 	mu      sync.Mutex
-	renewer *lease.Keeper
+	renewer *lease.Renewer
 	slot    *weightSlot
 	// nextCheck is when each engine is due to be checked, by its URL.
 	nextCheck map[string]time.Time
@@ -48,7 +48,7 @@
 	return &group{
 		r:         r,
 		id:        id,
-		renewer:   lease.NewKeeper(r.NewHolder(), id.Name()),
+		renewer:   lease.NewRenewer(r.NewHolder(), id.Name()),
 		slot:      newWeightSlot(r.NewHolder()),
 		nextCheck: map[string]time.Time{},
 	}
@@ -59,16 +59,16 @@
 		return
 	}
 	defer g.mu.Unlock()
-	if len(engines) == 0 || !g.r.Mine(g.id) {
+	if len(engines) == 0 || !g.r.OwnsGroup(g.id) {
 		g.slot.release(ctx)
-		g.renewer.GiveUp(ctx)
+		g.renewer.Release(ctx)
 		clear(g.nextCheck)
 		return
 	}
 	for _, e := range engines {
-		// Hold renews the lease when that is due, including between engines,
-		// whose calls can take long.
-		if !g.renewer.Hold(ctx, leaseMargin) {
+		// EnsureHeld renews the lease when that is due, including between
+		// engines, whose calls can take long.
+		if !g.renewer.EnsureHeld(ctx, leaseMargin) {
 			clear(g.nextCheck)
 			return
 		}
@@ -82,7 +82,7 @@
 // wanted state, and returns the delay until the next check.
 func (g *group) reconcileEngine(ctx context.Context, e *table.Endpoint) time.Duration {
 	l := g.renewer.Lease()
-	if !e.ChecksFence && g.r.Clock.Since(l.Taken) < maxOrderDelay {
+	if !e.ChecksFence && g.r.Clock.Since(l.AcquiredAt) < maxOrderDelay {
 		// An order of the previous holder may still take effect. The engine
 		// would not reject it, so the state must be read after that time to
 		// include its effect.
--- a/internal/order/reconciler.go
+++ b/internal/order/reconciler.go
@@ -43,10 +43,10 @@
 type Reconciler struct {
 	Clock   clockwork.Clock
 	Metrics *metric.Registry
-	// Mine reports whether this daemon should hold a group's lease. Two daemons
-	// may both return true for a while; the lease determines which of them
-	// sends orders.
-	Mine func(Group) bool
+	// OwnsGroup reports whether this daemon should hold a group's lease. Two
+	// daemons may both return true for a while; the lease determines which of
+	// them sends orders.
+	OwnsGroup func(Group) bool
 	// Table returns the current table, or nil if there is none.
 	Table func() *table.Table
 	// State reads the state of an engine; Order sends it an order.
@@ -78,8 +78,8 @@
 	}
 }
 
-// Step reconciles one group once.
-func (r *Reconciler) Step(ctx context.Context, g Group) {
+// ReconcileGroup reconciles one group once.
+func (r *Reconciler) ReconcileGroup(ctx context.Context, g Group) {
 	r.group(g).tryReconcile(ctx, r.enginesByGroup()[g])
 }
 
--- a/internal/order/script_test.go
+++ b/internal/order/script_test.go
@@ -118,10 +118,10 @@
 	client := engine.NewClient(endpoint.NewSender(endpoint.NewTransport()))
 	d := &testDaemon{metrics: metric.NewRegistry()}
 	d.reconciler = &order.Reconciler{
-		Clock:   r.clock,
-		Metrics: d.metrics,
-		Mine:    func(order.Group) bool { return d.ownsGroup },
-		Table:   func() *table.Table { return r.table },
+		Clock:     r.clock,
+		Metrics:   d.metrics,
+		OwnsGroup: func(order.Group) bool { return d.ownsGroup },
+		Table:     func() *table.Table { return r.table },
 		State: func(ctx context.Context, e *table.Endpoint) (engine.State, error) {
 			state, err := client.State(ctx, e)
 			r.clock.Advance(d.stateDelay)
@@ -156,7 +156,7 @@
 	case "wake":
 		r.resume(name, d, s)
 	case "step":
-		d.reconciler.Step(r.t.Context(), order.GroupOf(&r.table.Endpoints[0]))
+		d.reconciler.ReconcileGroup(r.t.Context(), order.GroupOf(&r.table.Endpoints[0]))
 	case "advance":
 		r.clock.Advance(s.By.Std())
 	case "faults":
@@ -248,7 +248,7 @@
 	calls := engine.NewClient(endpoint.NewSender(endpoint.NewTransport()))
 	metrics := metric.NewRegistry()
 	r := &order.Reconciler{
-		Clock: clock, Metrics: metrics, Mine: func(order.Group) bool { return true }, Table: func() *table.Table { return tab },
+		Clock: clock, Metrics: metrics, OwnsGroup: func(order.Group) bool { return true }, Table: func() *table.Table { return tab },
 		State: calls.State, Order: calls.Order, NewHolder: func() *lease.Holder { return lease.NewHolder(clock, client, metrics) },
 	}
 	loaded := func() int {
@@ -265,7 +265,7 @@
 			t.Fatalf("%d of %d engines loaded", loaded(), engines)
 		}
 		for g := range order.Group(order.Groups) {
-			r.Step(t.Context(), g)
+			r.ReconcileGroup(t.Context(), g)
 		}
 		clock.Advance(2 * time.Second)
 		if round%3 == 2 {
--- a/internal/order/weights.go
+++ b/internal/order/weights.go
@@ -18,7 +18,7 @@
 type weightSlot struct {
 	holder *lease.Holder
 	// renewer holds the lease of the slot; nil without a slot.
-	renewer *lease.Keeper
+	renewer *lease.Renewer
 	// engineURL is the engine that the slot is held for.
 	engineURL string
 }
@@ -29,12 +29,12 @@
 // none. It tries the slots in random order, so that waiting groups do not all
 // request the same one.
 func (w *weightSlot) acquire(ctx context.Context, e *table.Endpoint) bool {
-	if w.renewer != nil && w.renewer.Hold(ctx, 0) {
+	if w.renewer != nil && w.renewer.EnsureHeld(ctx, 0) {
 		return w.engineURL == e.URL
 	}
 	for _, n := range rand.Perm(WeightSlots) {
-		k := lease.NewKeeper(w.holder, fmt.Sprintf("weights/%d", n))
-		if k.Hold(ctx, 0) {
+		k := lease.NewRenewer(w.holder, fmt.Sprintf("weights/%d", n))
+		if k.EnsureHeld(ctx, 0) {
 			w.renewer = k
 			w.engineURL = e.URL
 			return true
@@ -52,7 +52,7 @@
 
 func (w *weightSlot) release(ctx context.Context) {
 	if w.renewer != nil {
-		w.renewer.GiveUp(ctx)
+		w.renewer.Release(ctx)
 	}
 	w.renewer = nil
 	w.engineURL = ""
