--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -1,6 +1,6 @@
-// Package boottime tells the time since the machine's start, the time that it
-// was suspended included. Go's own clock stands still meanwhile, so that facts
-// would look fresh that have become old.
+// Package boottime provides a clock that counts the time since the machine's start,
+// including the time during which it was suspended. Go's monotonic clock stops
+// during suspension, so that stale facts would look fresh.
 package boottime
 
 import (
@@ -8,25 +8,25 @@
 	"time"
 )
 
-// Clock tells the time since some fixed moment.
+// Clock measures the time since a fixed moment.
 type Clock interface {
 	Now() time.Duration
 }
 
-// Fake is a clock that tests move. It is safe for concurrent use.
+// Fake is a clock that tests advance. It is safe for concurrent use.
 type Fake struct {
 	mu  sync.Mutex
 	now time.Duration
 }
 
-// Now returns the time to which the clock was moved.
+// Now returns the sum of all advances.
 func (f *Fake) Now() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.now
 }
 
-// Advance moves the clock on.
+// Advance moves the clock forward by d.
 func (f *Fake) Advance(d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/boottime/boottime_linux.go
+++ b/internal/boottime/boottime_linux.go
@@ -6,15 +6,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// System is the machine's clock.
+// System is the clock of the machine, CLOCK_BOOTTIME.
 type System struct{}
 
 // Now returns the time since the machine's start.
 func (System) Now() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		// Linux has the clock since 2.6.39; a daemon without it could not
-		// tell how old its facts are.
+		// Linux has this clock since 2.6.39. Without it, a daemon can't
+		// determine the age of its facts.
 		panic("boottime: " + err.Error())
 	}
 	return time.Duration(t.Nano())
--- a/internal/boottime/boottime_other.go
+++ b/internal/boottime/boottime_other.go
@@ -4,8 +4,9 @@
 
 import "time"
 
-// System is the machine's clock. Other systems than Linux have no name for one
-// that counts suspension; daemons run on Linux, and this serves development.
+// System is the monotonic clock of the program. Systems other than Linux have no
+// common clock that includes suspension. Daemons run on Linux; this one is for
+// development only.
 type System struct{}
 
 var start = time.Now()
--- a/internal/heartbeat/silence_bench_test.go
+++ b/internal/heartbeat/detection_bench_test.go
@@ -16,32 +16,32 @@
 	"github.com/beechhead/beechhead/internal/peer/peerv1"
 )
 
-// oneWay is how long a message takes.
-const oneWay = time.Millisecond
+// oneWayDelay is how long a message takes.
+const oneWayDelay = time.Millisecond
 
-// live is a fleet whose daemons run by the real clock and exchange messages by
-// function calls. A silent one neither sends nor answers, so that calls to it
-// end by their timeout.
-type live struct {
+// liveFleet is a fleet whose daemons use the real clock and exchange messages by
+// function calls. A silent daemon neither sends nor responds, so that calls to it
+// time out.
+type liveFleet struct {
 	views  []*membership.View
 	silent []atomic.Bool
-	// missing counts the daemons that have not found the victim gone.
-	missing sync.WaitGroup
-	victim  membership.HostID
+	// undetected counts the daemons that have not found the victim gone.
+	undetected sync.WaitGroup
+	victim     membership.HostID
 }
 
-func startLive(b *testing.B, hosts int) *live {
+func startLive(b *testing.B, hosts int) *liveFleet {
 	b.Helper()
-	l := &live{views: make([]*membership.View, hosts), silent: make([]atomic.Bool, hosts)}
+	l := &liveFleet{views: make([]*membership.View, hosts), silent: make([]atomic.Bool, hosts)}
 	l.victim = membership.HostID(name(hosts / 2))
-	l.missing.Add(hosts - 1)
+	l.undetected.Add(hosts - 1)
 	exchangers := make([]*heartbeat.Exchanger, hosts)
 	clock := clockwork.NewRealClock()
 	for i := range hosts {
 		v := membership.NewView(clock, membership.Host{ID: membership.HostID(name(i)), Incarnation: 1, State: membership.Ready, PeerAddress: name(i)})
 		v.OnGone = func(h membership.Host) {
 			if h.ID == l.victim {
-				l.missing.Done()
+				l.undetected.Done()
 			}
 		}
 		l.views[i] = v
@@ -55,9 +55,9 @@
 					<-ctx.Done()
 					return nil, ctx.Err()
 				}
-				time.Sleep(oneWay)
+				time.Sleep(oneWayDelay)
 				resp := exchangers[to].Answer(req)
-				time.Sleep(oneWay)
+				time.Sleep(oneWayDelay)
 				return resp, nil
 			},
 		}
@@ -79,7 +79,7 @@
 	return l
 }
 
-func (l *live) sweep(ctx context.Context, i int) {
+func (l *liveFleet) sweep(ctx context.Context, i int) {
 	for ctx.Err() == nil {
 		time.Sleep(100 * time.Millisecond)
 		if !l.silent[i].Load() {
@@ -88,8 +88,8 @@
 	}
 }
 
-// BenchmarkSilentHost measures the time from when a host falls silent until
-// the last of the others has found it gone, in milliseconds.
+// BenchmarkSilentHost measures the time from when a host stops responding until the
+// last of the others has found it gone, in milliseconds.
 func BenchmarkSilentHost(b *testing.B) {
 	for _, n := range []int{3, 14, 40, 120, 360} {
 		b.Run(fmt.Sprintf("daemons=%d", n), func(b *testing.B) {
@@ -99,7 +99,7 @@
 				time.Sleep(time.Second)
 				start := time.Now()
 				l.silent[n/2].Store(true)
-				l.missing.Wait()
+				l.undetected.Wait()
 				took = append(took, time.Since(start))
 			}
 			slices.Sort(took)
--- a/internal/heartbeat/exchanger.go
+++ b/internal/heartbeat/exchanger.go
@@ -1,6 +1,6 @@
-// Package heartbeat exchanges news of the hosts between daemons: each daemon
-// talks to a few partners, passes on what has changed, and finds out which of
-// them are silent. See docs/design/hosts.md.
+// Package heartbeat exchanges updates of the hosts between daemons: each daemon
+// sends heartbeats to a few partners, relays recent changes, and detects partners
+// that don't respond. See docs/design/hosts.md.
 package heartbeat
 
 import (
@@ -16,114 +16,118 @@
 	"github.com/beechhead/beechhead/internal/quarantine"
 )
 
-// Timings and bounds of the protocol.
+// Intervals, timeouts and limits of the protocol.
 const (
 	// Interval is the time between two heartbeats to the same partner.
 	Interval = time.Second
-	// Timeout bounds one heartbeat, and again the probe that follows it on a
-	// new connection.
+	// Timeout applies to one heartbeat, and again to its repetition on a new
+	// connection.
 	Timeout = 400 * time.Millisecond
-	// urgentGap is the least time between two rounds for urgent news.
-	urgentGap = 100 * time.Millisecond
-	// lookInterval is the time between two tries to reach a host that is
-	// gone, or listed by the platform and unknown.
-	lookInterval = 2 * time.Second
-	// seedsAtOnce is how many seeds a daemon asks that knows nobody. It pauses
-	// for seedPause between the first seedHurry rounds, and for Interval then.
-	seedsAtOnce = 3
-	seedPause   = 100 * time.Millisecond
-	seedHurry   = 30
-	// seedTimeout bounds a heartbeat to a host that is not known to be there:
-	// one that starts a moment later is found by the next.
-	seedTimeout = 150 * time.Millisecond
-	// maxChanges bounds the news in one message.
+	// urgentInterval is the minimum time between two rounds of heartbeats that
+	// are sent for urgent updates.
+	urgentInterval = 100 * time.Millisecond
+	// probeInterval is the time between two probes of a host that is gone, or
+	// that is listed by the platform but unknown.
+	probeInterval = 2 * time.Second
+	// seedsPerRound is how many seeds a daemon probes in one round while it
+	// knows no other host. The first fastSeedRounds rounds are
+	// fastSeedInterval apart, the later ones Interval.
+	seedsPerRound    = 3
+	fastSeedInterval = 100 * time.Millisecond
+	fastSeedRounds   = 30
+	// probeTimeout applies to a heartbeat to a host that may not be running. It
+	// is short, since the next probe finds a host that starts a moment later.
+	probeTimeout = 150 * time.Millisecond
+	// maxChanges limits the updates of hosts in one message.
 	maxChanges = 8
-	// maxSuspects bounds the news of requests in one message.
+	// maxSuspects limits the updates of suspect requests in one message.
 	maxSuspects = 32
-	// maxDiffering is how many heartbeats running two partners may know
-	// different things before one asks the other for all.
+	// maxDiffering is after how many consecutive heartbeats with different
+	// digests a daemon requests the full state from its partner.
 	maxDiffering = 4
 )
 
-// Exchanger runs the protocol for one daemon. All fields must be set before
-// it is used. It is safe for concurrent use.
+// Exchanger runs the protocol for one daemon. All fields that may not be nil must
+// be set before it is used. It is safe for concurrent use.
 type Exchanger struct {
 	Clock clockwork.Clock
 	View  *membership.View
 	// Call sends a heartbeat to the daemon at a peer address.
 	Call func(ctx context.Context, address string, req *peerv1.HeartbeatRequest) (*peerv1.HeartbeatResponse, error)
-	// Replace closes the connections to a peer address, so that the next
-	// call opens a new one.
+	// Replace closes the connections to a peer address, so that the next call
+	// opens a new one.
 	Replace func(address string)
-	// Heard is called with the own news of a daemon that answered a request
-	// sent at that time. It must not block.
+	// Heard is called with the state of a daemon that responded, and with the
+	// time at which the request was sent. It must not block.
 	Heard func(peer membership.News, sent time.Time, storeAge time.Duration)
-	// StoreAge returns how long ago the store was last heard of.
+	// StoreAge returns how long ago this daemon, or one from which it got a
+	// heartbeat, last read the store.
 	StoreAge func() time.Duration
-	// Facts returns how far this daemon's facts reach, OnFacts takes in what a
-	// partner tells of its own. Both are nil where daemons keep no facts.
+	// Facts returns the versions of this daemon's facts, and OnFacts handles
+	// those of a partner. Both are nil where daemons keep no facts.
 	Facts   func() *peerv1.Beacon
 	OnFacts func(*peerv1.Beacon)
-	// Suspects has the requests under which endpoints have ended; nil where
-	// daemons don't look after that.
+	// Suspects has the requests during which endpoints have terminated; it is
+	// nil where daemons don't quarantine requests.
 	Suspects *quarantine.List
-	// Seeds returns peer addresses that the platform or the settings name.
+	// Seeds returns the peer addresses from the platform or the settings.
 	Seeds func() []string
-	// Load returns the number of requests in progress; nil where no daemon goes
-	// by the load of others.
+	// Load returns the number of requests in progress; it is nil where daemons
+	// don't use the load of others.
 	Load func() uint32
 	// Count counts an event by name.
 	Count func(name string)
 
 	mu sync.Mutex
-	// busy has the addresses with a heartbeat under way.
-	busy map[string]bool
-	// differing counts the heartbeats running in which a host's digests
-	// differed from the own.
+	// inFlight has the addresses with a heartbeat in progress.
+	inFlight map[string]bool
+	// differing counts, by host, the consecutive heartbeats whose digests
+	// differed from those of this daemon.
 	differing map[membership.HostID]int
 }
 
-// Run exchanges heartbeats until ctx ends.
+// Run exchanges heartbeats until ctx is done.
 func (x *Exchanger) Run(ctx context.Context) {
-	look := x.Clock.NewTicker(lookInterval)
-	defer look.Stop()
-	alone := 0
+	probeTicker := x.Clock.NewTicker(probeInterval)
+	defer probeTicker.Stop()
+	aloneRounds := 0
 	for turn := 0; ; turn++ {
 		if x.Load != nil {
 			x.View.SetLoad(x.Load())
 		}
 		partners := x.View.Partners()
 		if len(partners) == 0 {
-			alone++
-			x.look(ctx, seedsAtOnce)
+			aloneRounds++
+			x.probeHosts(ctx, seedsPerRound)
 		} else {
-			alone = 0
+			aloneRounds = 0
 			go x.Beat(ctx, partners[turn%len(partners)])
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-look.Chan():
-			x.look(ctx, 1)
+		case <-probeTicker.Chan():
+			x.probeHosts(ctx, 1)
 		case <-x.View.Wake:
-			x.beatAll(ctx)
-			x.sleep(ctx, urgentGap)
+			x.sendToAll(ctx)
+			x.sleep(ctx, urgentInterval)
 		case <-x.suspectsWake():
-			x.beatAll(ctx)
-			x.sleep(ctx, urgentGap)
-		case <-x.Clock.After(pauseAfter(len(partners), alone)):
+			x.sendToAll(ctx)
+			x.sleep(ctx, urgentInterval)
+		case <-x.Clock.After(nextDelay(len(partners), aloneRounds)):
 		}
 	}
 }
 
-// pauseAfter returns the time until the next heartbeat of a daemon with so many
-// partners, or that has been alone for so many rounds.
-func pauseAfter(partners, alone int) time.Duration {
+// nextDelay returns the time until the next heartbeat of a daemon with the given
+// number of partners. A daemon without partners has probed seeds for aloneRounds
+// rounds.
+func nextDelay(partners, aloneRounds int) time.Duration {
 	switch {
 	case partners > 0:
 		return Interval / time.Duration(partners)
-	case alone <= seedHurry:
-		return seedPause
+	case aloneRounds <= fastSeedRounds:
+		return fastSeedInterval
 	}
 	return Interval
 }
@@ -135,15 +139,15 @@
 	}
 }
 
-// beatAll passes urgent news to every partner without waiting for its turn.
-func (x *Exchanger) beatAll(ctx context.Context) {
+// sendToAll sends a heartbeat with urgent updates to every partner at once.
+func (x *Exchanger) sendToAll(ctx context.Context) {
 	for _, h := range x.View.Partners() {
 		go x.Beat(ctx, h)
 	}
 }
 
-// Refresh exchanges heartbeats with every partner and waits for the answers.
-// A daemon that was paused does so before it decides anything.
+// Refresh exchanges heartbeats with every partner and waits for the responses. A
+// daemon whose process was paused calls it before it makes any decision.
 func (x *Exchanger) Refresh(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, h := range x.View.Partners() {
@@ -152,18 +156,20 @@
 	wg.Wait()
 }
 
-// look tries to reach up to n hosts that are not known to be there. It is how
-// a daemon enters, and how two groups that were cut off from each other find
-// together again.
-func (x *Exchanger) look(ctx context.Context, n int) {
-	addresses := x.unreached()
+// probeHosts sends heartbeats to up to n hosts that are not known to be running.
+// This is how a daemon joins the fleet, and how the two sides of a network
+// partition merge after it has healed.
+func (x *Exchanger) probeHosts(ctx context.Context, n int) {
+	addresses := x.probeCandidates()
 	rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
 	for _, address := range addresses[:min(n, len(addresses))] {
 		go x.Try(ctx, address)
 	}
 }
 
-func (x *Exchanger) unreached() []string {
+// probeCandidates returns the peer addresses of the seeds and of the gone hosts
+// that no known host has.
+func (x *Exchanger) probeCandidates() []string {
 	known := x.View.Hosts()
 	candidates := x.Seeds()
 	for _, h := range x.View.Unreached().All() {
@@ -180,29 +186,29 @@
 	return addresses
 }
 
-// Try sends a heartbeat to a daemon that may not be there.
+// Try sends a heartbeat to a daemon that may not be running.
 func (x *Exchanger) Try(ctx context.Context, address string) {
-	if !x.begin(address) {
+	if !x.startHeartbeat(address) {
 		return
 	}
-	defer x.end(address)
-	if _, err := x.exchange(ctx, address, seedTimeout, true); err != nil {
+	defer x.finishHeartbeat(address)
+	if _, err := x.exchange(ctx, address, probeTimeout, true); err != nil {
 		x.Replace(address)
 	}
 }
 
 // Beat exchanges one heartbeat with a host.
 //
-// A connection that a router or firewall has lost track of goes silent for
-// good while new ones work: heartbeats on it time out although the host is
-// well. So the connection is replaced first, and only a host that does not
-// answer on a new one is suspected.
+// When a router or firewall loses the state of a connection, the connection
+// delivers nothing any more, while new ones work: heartbeats on it time out
+// although the host is healthy. So the connection is replaced first, and a host is
+// suspected only if it does not respond on a new one either.
 func (x *Exchanger) Beat(ctx context.Context, h membership.Host) {
-	if !x.begin(h.PeerAddress) {
+	if !x.startHeartbeat(h.PeerAddress) {
 		return
 	}
-	defer x.end(h.PeerAddress)
-	full := x.differs(h.ID) >= maxDiffering
+	defer x.finishHeartbeat(h.PeerAddress)
+	full := x.differingCount(h.ID) >= maxDiffering
 	resp, err := x.exchange(ctx, h.PeerAddress, Timeout, full)
 	if err != nil && ctx.Err() == nil {
 		x.Count("heartbeat.failed")
@@ -220,7 +226,7 @@
 	}
 }
 
-// exchange sends one heartbeat and takes in the answer.
+// exchange sends one heartbeat and applies the response.
 func (x *Exchanger) exchange(ctx context.Context, address string, timeout time.Duration, full bool) (*peerv1.HeartbeatResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -240,21 +246,21 @@
 	if err != nil {
 		return nil, err
 	}
-	x.takeSuspects(resp.GetSuspects())
-	x.take(resp.GetSelf(), resp.GetChanges(), digests{resp.GetDigest(), resp.GetSuspectsDigest()})
-	x.takeFacts(resp.GetFacts())
+	x.applySuspects(resp.GetSuspects())
+	x.apply(resp.GetSelf(), resp.GetChanges(), digests{resp.GetDigest(), resp.GetSuspectsDigest()})
+	x.applyFacts(resp.GetFacts())
 	x.Heard(fromInfo(resp.GetSelf()), sent, time.Duration(resp.GetStoreAgeMs())*time.Millisecond)
 	return resp, nil
 }
 
-// Answer takes in a heartbeat and returns the answer.
+// Answer applies a heartbeat and returns the response.
 func (x *Exchanger) Answer(req *peerv1.HeartbeatRequest) *peerv1.HeartbeatResponse {
-	x.takeSuspects(req.GetSuspects())
-	x.take(req.GetSelf(), req.GetChanges(), digests{req.GetDigest(), req.GetSuspectsDigest()})
-	x.takeFacts(req.GetFacts())
+	x.applySuspects(req.GetSuspects())
+	x.apply(req.GetSelf(), req.GetChanges(), digests{req.GetDigest(), req.GetSuspectsDigest()})
+	x.applyFacts(req.GetFacts())
 	changes := x.changes(req.GetFull())
-	// A host that is thought gone is nobody's partner, and the news of it has
-	// been passed on already. Unless it is told here, it can't refute it.
+	// A host that is known as gone is nobody's partner, and the update has
+	// already been sent. Unless the host gets it here, it can't refute it.
 	if n, ok := x.View.Doubts(fromInfo(req.GetSelf()).Host); ok {
 		changes = append(changes, toInfo(n))
 	}
@@ -277,37 +283,42 @@
 	return x.Facts()
 }
 
-func (x *Exchanger) takeFacts(b *peerv1.Beacon) {
+func (x *Exchanger) applyFacts(b *peerv1.Beacon) {
 	if x.OnFacts != nil && b != nil {
 		x.OnFacts(b)
 	}
 }
 
+// changes returns the updates of hosts for one message: all if full is set, else
+// the most urgent ones.
 func (x *Exchanger) changes(full bool) []*peerv1.HostInfo {
-	news := x.View.TakeChanges(maxChanges)
+	updates := x.View.TakeChanges(maxChanges)
 	if full {
-		news = x.View.All()
+		updates = x.View.All()
 	}
-	infos := make([]*peerv1.HostInfo, 0, len(news))
-	for _, n := range news {
+	infos := make([]*peerv1.HostInfo, 0, len(updates))
+	for _, n := range updates {
 		infos = append(infos, toInfo(n))
 	}
 	return infos
 }
 
-// digests are hashes of the hosts and of the suspects that a daemon knows.
+// digests are hashes of the hosts and of the suspect requests that a daemon knows.
 type digests struct{ hosts, suspects uint64 }
 
-func (x *Exchanger) take(self *peerv1.HostInfo, changes []*peerv1.HostInfo, theirs digests) {
+// apply applies the updates in a message of another daemon and compares its
+// digests.
+func (x *Exchanger) apply(self *peerv1.HostInfo, changes []*peerv1.HostInfo, theirs digests) {
 	for _, i := range changes {
 		x.View.Apply(fromInfo(i))
 	}
 	x.View.ObserveNews(fromInfo(self))
-	x.compare(membership.HostID(self.GetHost()), theirs)
+	x.compareDigests(membership.HostID(self.GetHost()), theirs)
 }
 
-// compare counts how long a daemon has known other things than this one.
-func (x *Exchanger) compare(id membership.HostID, theirs digests) {
+// compareDigests counts the consecutive heartbeats in which the digests of another
+// daemon differed from those of this one.
+func (x *Exchanger) compareDigests(id membership.HostID, theirs digests) {
 	same := theirs == digests{x.View.Digest(), x.suspectsDigest()}
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -321,7 +332,9 @@
 	x.differing[id]++
 }
 
-func (x *Exchanger) differs(id membership.HostID) int {
+// differingCount returns the count of compareDigests for a host. At maxDiffering it
+// restarts the count, since the full state is then requested.
+func (x *Exchanger) differingCount(id membership.HostID) int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	n := x.differing[id]
@@ -332,22 +345,23 @@
 	return n
 }
 
-// begin tells whether no other heartbeat to the address is under way.
-func (x *Exchanger) begin(address string) bool {
+// startHeartbeat marks a heartbeat to the address as in progress. It reports false
+// if one is in progress already.
+func (x *Exchanger) startHeartbeat(address string) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.busy[address] {
+	if x.inFlight[address] {
 		return false
 	}
-	if x.busy == nil {
-		x.busy = map[string]bool{}
+	if x.inFlight == nil {
+		x.inFlight = map[string]bool{}
 	}
-	x.busy[address] = true
+	x.inFlight[address] = true
 	return true
 }
 
-func (x *Exchanger) end(address string) {
+func (x *Exchanger) finishHeartbeat(address string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	delete(x.busy, address)
+	delete(x.inFlight, address)
 }
--- a/internal/heartbeat/exchanger_test.go
+++ b/internal/heartbeat/exchanger_test.go
@@ -20,64 +20,66 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// script is a scenario: what happens to a fleet, and what its daemons must
-// know of each other afterwards.
-type script struct {
+// scenario is a sequence of events in a fleet, with what its daemons must know of
+// each other afterwards.
+type scenario struct {
 	Name string `json:"name"`
-	// Story tells what goes wrong and why it must come out right.
+	// Story describes the failure and the expected result.
 	Story string `json:"story"`
 	Hosts int    `json:"hosts"`
-	// Strangers lets the daemons begin without knowing each other.
-	Strangers bool   `json:"strangers"`
-	Steps     []step `json:"steps"`
+	// StartUnknown makes the daemons start without knowing each other.
+	StartUnknown bool   `json:"strangers"`
+	Steps        []step `json:"steps"`
 }
 
-// step is one action or expectation. Hosts are given by number.
+// step is one action or expectation. Hosts are identified by number.
 type step struct {
 	Rounds  int   `json:"rounds"`
 	Kill    []int `json:"kill"`
 	Restart []int `json:"restart"`
 	Leave   []int `json:"leave"`
 	Depart  []int `json:"depart"`
-	// Freeze keeps daemons from sending and answering; Thaw ends it.
+	// Freeze keeps daemons from sending and responding; Thaw ends it.
 	Freeze []int `json:"freeze"`
 	Thaw   []int `json:"thaw"`
-	// Silence makes the open connections of pairs pass nothing; new
-	// connections work.
+	// Silence makes the open connections between pairs of hosts deliver
+	// nothing; new connections work.
 	Silence [][2]int `json:"silence"`
-	// Cut separates these hosts from the others; Heal ends it.
+	// Cut partitions these hosts from the others; Heal ends it.
 	Cut  []int `json:"cut"`
 	Heal bool  `json:"heal"`
-	// Drop lists hosts with the number of messages to them that are lost.
+	// Drop lists hosts, each with the number of messages to it that are lost.
 	Drop [][2]int `json:"drop"`
-	// Ended lists daemons and numbers of a request and of an endpoint that ended
-	// under it there, Completed daemons and requests that were completed there.
-	Ended     [][3]int `json:"ended"`
-	Completed [][2]int `json:"completed"`
-	// Look lets every daemon try to reach hosts that it thinks gone, or a
-	// seed if it knows nobody.
-	Look bool `json:"look"`
+	// Terminated lists a daemon, a request and an endpoint whose process
+	// terminated during the request there; Completed lists a daemon and a
+	// request that was completed there.
+	Terminated [][3]int `json:"ended"`
+	Completed  [][2]int `json:"completed"`
+	// Probe makes every daemon probe a host that it knows as gone, or a seed if
+	// it knows no other host.
+	Probe bool `json:"look"`
 
 	Expect *expectation `json:"expect"`
 }
 
 type expectation struct {
-	// By lists the daemons that must know it; absent means all that run.
+	// By lists the daemons to check; absent means all that run.
 	By []int `json:"by"`
-	// Known is the number of hosts that each knows to be there.
+	// Known is the number of hosts that each daemon knows and that are not gone.
 	Known *int `json:"known"`
-	// Ready is the number of hosts that take work.
+	// Ready is the number of hosts that accept work.
 	Ready *int `json:"ready"`
-	// Gone lists how often each incarnation of a host was found gone.
+	// Gone has, for a host, how often one of its incarnations was found gone.
 	Gone map[string]int `json:"gone"`
-	// Kept and NotKept have requests that each keeps back, or does not.
-	Kept    []int `json:"kept"`
-	NotKept []int `json:"notKept"`
-	// Minority tells whether each hears fewer than half of the hosts.
+	// Quarantined and NotQuarantined have requests that each daemon has, or
+	// does not have, in quarantine.
+	Quarantined    []int `json:"kept"`
+	NotQuarantined []int `json:"notKept"`
+	// Minority is whether each daemon reaches fewer than half of the hosts.
 	Minority *bool `json:"minority"`
-	// Counts are least values of the sum of a counter over all daemons.
+	// Counts are minimum values of counters, summed over all daemons.
 	Counts map[string]int `json:"counts"`
-	// AtMost are greatest values of it.
+	// AtMost are maximum values of such counters.
 	AtMost map[string]int `json:"atMost"`
 }
 
@@ -86,12 +88,13 @@
 	t     *testing.T
 	clock *clockwork.FakeClock
 	nodes []*node
-	// silent has the pairs of sender and address whose connection is dead.
+	// silent has the pairs of sender and address whose open connection delivers
+	// nothing.
 	silent map[[2]string]bool
 	cut    map[int]bool
 	drop   map[string]int
 	counts map[string]int
-	// incarnations grows with each start.
+	// incarnations counts the starts of daemons.
 	incarnations uint64
 }
 
@@ -138,7 +141,7 @@
 	return nd
 }
 
-var errNoAnswer = errors.New("no answer")
+var errNoResponse = errors.New("no response")
 
 func (n *network) call(from *node, address string, req *peerv1.HeartbeatRequest) (*peerv1.HeartbeatResponse, error) {
 	n.counts["messages"]++
@@ -152,11 +155,11 @@
 	}
 	to := n.nodes[number]
 	if to.down || to.frozen || n.cut[number] != n.cut[from.number] || n.silent[[2]string{name(from.number), address}] {
-		return nil, errNoAnswer
+		return nil, errNoResponse
 	}
 	if n.drop[address] > 0 {
 		n.drop[address]--
-		return nil, errNoAnswer
+		return nil, errNoResponse
 	}
 	return to.x.Answer(req), nil
 }
@@ -165,12 +168,12 @@
 	return slices.DeleteFunc(slices.Clone(n.nodes), func(nd *node) bool { return nd.down })
 }
 
-// round lets every daemon exchange one heartbeat with each of its partners.
+// round makes every daemon exchange one heartbeat with each of its partners.
 func (n *network) round() {
 	for _, nd := range n.running() {
 		n.beat(nd)
 	}
-	n.passUrgent()
+	n.sendUrgent()
 	n.clock.Advance(heartbeat.Interval)
 	for _, nd := range n.running() {
 		if !nd.frozen {
@@ -179,11 +182,11 @@
 	}
 }
 
-// urgentRounds is how often urgent news is passed on between two rounds; the
-// protocol's own bound is one each 100 ms.
+// urgentRounds is how often urgent updates are sent between two rounds; the
+// protocol itself allows one each 100 ms.
 const urgentRounds = 4
 
-func (n *network) passUrgent() {
+func (n *network) sendUrgent() {
 	for range urgentRounds {
 		for _, nd := range n.running() {
 			select {
@@ -219,7 +222,7 @@
 	}
 	for _, i := range s.Depart {
 		n.nodes[i].view.Depart()
-		n.passUrgent()
+		n.sendUrgent()
 		n.nodes[i].down = true
 	}
 	for _, i := range s.Freeze {
@@ -238,20 +241,20 @@
 	for _, i := range s.Cut {
 		n.cut[i] = true
 	}
-	for _, e := range s.Ended {
+	for _, e := range s.Terminated {
 		n.nodes[e[0]].x.Suspects.RecordTermination(quarantine.Fingerprint(e[1]), table.EndpointName(fmt.Sprintf("engine-%d", e[2])))
 	}
 	for _, e := range s.Completed {
 		n.nodes[e[0]].x.Suspects.RecordCompletion(quarantine.Fingerprint(e[1]))
 	}
-	if len(s.Ended)+len(s.Completed) > 0 {
-		n.passUrgent()
+	if len(s.Terminated)+len(s.Completed) > 0 {
+		n.sendUrgent()
 	}
 	if s.Heal {
 		n.cut = map[int]bool{}
 	}
-	if s.Look {
-		n.look()
+	if s.Probe {
+		n.probe()
 	}
 	for range s.Rounds {
 		n.round()
@@ -261,9 +264,9 @@
 	}
 }
 
-// look lets each daemon try the first host that it thinks gone, or the first
-// host of all.
-func (n *network) look() {
+// probe makes each daemon probe the first host that it knows as gone, and the first
+// host of all if it knows no other host.
+func (n *network) probe() {
 	for _, nd := range n.running() {
 		if nd.view.Hosts().Len() == 1 {
 			nd.x.Try(context.Background(), name(0))
@@ -289,14 +292,14 @@
 		if got := nd.view.InMinority(); e.Minority != nil && got != *e.Minority {
 			n.t.Errorf("%s: minority is %v, want %v", name(nd.number), got, *e.Minority)
 		}
-		for _, f := range e.Kept {
+		for _, f := range e.Quarantined {
 			if !nd.x.Suspects.IsQuarantined(quarantine.Fingerprint(f)) {
-				n.t.Errorf("%s sends request %d", name(nd.number), f)
+				n.t.Errorf("request %[2]d is not quarantined at %[1]s", name(nd.number), f)
 			}
 		}
-		for _, f := range e.NotKept {
+		for _, f := range e.NotQuarantined {
 			if nd.x.Suspects.IsQuarantined(quarantine.Fingerprint(f)) {
-				n.t.Errorf("%s keeps request %d back", name(nd.number), f)
+				n.t.Errorf("request %[2]d is quarantined at %[1]s", name(nd.number), f)
 			}
 		}
 		for host, want := range e.Gone {
@@ -317,7 +320,7 @@
 	}
 }
 
-// introduce makes all daemons known to all, with no news left to pass on.
+// introduce makes all daemons known to each other, with no updates left to send.
 func (n *network) introduce() {
 	for _, nd := range n.nodes {
 		for _, other := range n.nodes {
@@ -329,7 +332,7 @@
 	}
 }
 
-// Each scenario's story stands in its data file.
+// Each data file has the story of its scenario.
 func TestScenarios(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.json")
 	if err != nil || len(files) == 0 {
@@ -340,13 +343,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var s script
+		var s scenario
 		if err := json.Unmarshal(data, &s); err != nil {
 			t.Fatalf("%s: %v", file, err)
 		}
 		t.Run(s.Name, func(t *testing.T) {
 			n := newNetwork(t, s.Hosts)
-			if !s.Strangers {
+			if !s.StartUnknown {
 				n.introduce()
 			}
 			for _, st := range s.Steps {
--- a/internal/heartbeat/alone_test.go
+++ b/internal/heartbeat/seeds_test.go
@@ -15,9 +15,9 @@
 	"github.com/beechhead/beechhead/internal/peer/peerv1"
 )
 
-// Guards against a daemon that finds a seed late which starts a moment after
-// it, and against one alone that goes on asking in such a hurry.
-func TestDaemonAloneAsksSeldomInTheEnd(t *testing.T) {
+// Guards against a daemon that is slow to find a seed that starts a moment later,
+// and against one without any other host that keeps probing at the fast rate.
+func TestLoneDaemonSlowsDownSeedProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := clockwork.NewRealClock()
 		var calls atomic.Int64
@@ -34,13 +34,13 @@
 		go x.Run(ctx)
 		time.Sleep(time.Second)
 		if n := calls.Load(); n < 8 {
-			t.Errorf("%d calls in the first second", n)
+			t.Errorf("%d calls in the first second, want at least 8", n)
 		}
 		time.Sleep(9 * time.Second)
 		before := calls.Load()
 		time.Sleep(10 * time.Second)
 		if n := calls.Load() - before; n > 20 {
-			t.Errorf("%d calls in ten seconds, long after the start", n)
+			t.Errorf("%d calls in the second ten seconds, want at most 20", n)
 		}
 		stop()
 		synctest.Wait()
--- a/internal/heartbeat/suspects.go
+++ b/internal/heartbeat/suspects.go
@@ -7,8 +7,8 @@
 	"github.com/beechhead/beechhead/internal/quarantine"
 )
 
-// suspectsWake returns the signal of urgent news; it never comes where daemons
-// don't look after suspects.
+// suspectsWake returns the channel that signals urgent updates of suspect requests.
+// It is nil where daemons don't quarantine requests.
 func (x *Exchanger) suspectsWake() <-chan struct{} {
 	if x.Suspects == nil {
 		return nil
@@ -16,16 +16,18 @@
 	return x.Suspects.Wake()
 }
 
+// suspects returns the updates of suspect requests for one message: all if full is
+// set, else recent ones.
 func (x *Exchanger) suspects(full bool) []*peerv1.Suspect {
 	if x.Suspects == nil {
 		return nil
 	}
-	news := x.Suspects.TakeUpdates(maxSuspects)
+	updates := x.Suspects.TakeUpdates(maxSuspects)
 	if full {
-		news = x.Suspects.All()
+		updates = x.Suspects.All()
 	}
-	suspects := make([]*peerv1.Suspect, 0, len(news))
-	for _, n := range news {
+	suspects := make([]*peerv1.Suspect, 0, len(updates))
+	for _, n := range updates {
 		suspects = append(suspects, toSuspect(n))
 	}
 	return suspects
@@ -38,7 +40,7 @@
 	return x.Suspects.Digest()
 }
 
-func (x *Exchanger) takeSuspects(suspects []*peerv1.Suspect) {
+func (x *Exchanger) applySuspects(suspects []*peerv1.Suspect) {
 	if x.Suspects == nil {
 		return
 	}
--- a/internal/membership/host.go
+++ b/internal/membership/host.go
@@ -1,12 +1,12 @@
-// Package membership keeps what a daemon knows of the hosts: who is there, who
-// is leaving, and who is silent. It decides and keeps state only; the daemon
-// sends its messages.
+// Package membership maintains a daemon's view of the hosts: which are alive,
+// leaving, suspect or gone. It holds and updates the state only; package
+// heartbeat exchanges the messages.
 package membership
 
-// HostID names an entry host.
+// HostID is the id of an entry host.
 type HostID string
 
-// State is where a daemon stands in its life.
+// State is the lifecycle state of a daemon.
 type State int
 
 // The states of a daemon, in the order in which it passes through them.
@@ -29,11 +29,11 @@
 	return "unknown"
 }
 
-// Host is what a daemon says of itself.
+// Host is the state that a daemon publishes about itself.
 type Host struct {
 	ID HostID
-	// Incarnation is drawn when the daemon starts; a later run of the host
-	// has a greater one. See NewIncarnation.
+	// Incarnation is chosen when the daemon starts; a later run on the same
+	// host has a greater one. See NewIncarnation.
 	Incarnation uint64
 	// Sequence grows with each change within the incarnation.
 	Sequence      uint64
@@ -42,27 +42,29 @@
 	Zone          string
 	CallerAddress string
 	PeerAddress   string
-	// Capacity is how many requests a second it can carry; zero is unknown. It
-	// does not change within an incarnation.
+	// Capacity is the number of requests per second that the host can carry;
+	// zero means unknown. It does not change within an incarnation.
 	Capacity uint32
 	// Load is the number of requests in progress.
 	Load uint32
-	// TableVersion is the version of the table in force there. It is known
-	// of hosts only that this daemon has exchanged heartbeats with.
+	// TableVersion is the version of the table in force on the host. It is
+	// known only for hosts with which this daemon has exchanged heartbeats.
 	TableVersion uint64
 }
 
-// Status is what the hosts think of one of them.
+// Status is what the other hosts know of a host's liveness.
 type Status int
 
-// The statuses. Within one sequence number the later ones override the
-// earlier ones; the host itself refutes them by a greater sequence number.
+// The statuses. For the same sequence number, a later status in this list
+// overrides an earlier one. The host itself refutes Suspect and Gone with a
+// greater sequence number.
 const (
 	Alive Status = iota + 1
-	// Suspect hosts did not answer on a new connection. They take no new
-	// work, and count as gone unless they refute it in time.
+	// Suspect hosts did not respond on a new connection either. They are given
+	// no new work, and count as gone unless they refute the suspicion within
+	// SuspicionTimeout.
 	Suspect
-	// Gone hosts are not there: their incarnation has ended or is cut off.
+	// Gone hosts have terminated or can't be reached.
 	Gone
 )
 
@@ -79,13 +81,13 @@
 	return "unknown"
 }
 
-// News is one host's state as it is passed from daemon to daemon.
+// News is an update of one host's state, as daemons exchange it.
 type News struct {
 	Host   Host
 	Status Status
 }
 
-// supersedes tells whether the news is newer than what is known.
+// supersedes reports whether the update is newer than the known one.
 func (n News) supersedes(known News) bool {
 	switch {
 	case n.Host.Incarnation != known.Host.Incarnation:
@@ -96,12 +98,12 @@
 	return n.Status > known.Status
 }
 
-// Bits of an incarnation that are random, so that two runs that start in the
-// same millisecond differ.
+// incarnationRandomBits is the number of random low bits of an incarnation, which
+// distinguish two runs that start in the same millisecond.
 const incarnationRandomBits = 20
 
-// NewIncarnation returns an incarnation that is greater than those drawn
-// earlier on the same host, as long as its clock was not set back.
+// NewIncarnation returns an incarnation that is greater than the earlier ones of
+// the same host, unless the host's clock was set back.
 func NewIncarnation(unixMilli int64, random uint64) uint64 {
 	return uint64(unixMilli)<<incarnationRandomBits | random&(1<<incarnationRandomBits-1)
 }
--- a/internal/membership/hosts.go
+++ b/internal/membership/hosts.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Hosts returns the hosts that are not gone, the daemon itself included.
+// Hosts returns the hosts that are not gone, including this daemon's own.
 func (v *View) Hosts() *Snapshot {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -13,7 +13,7 @@
 	return v.known
 }
 
-// Ready returns the hosts that take work.
+// Ready returns the alive hosts that accept work.
 func (v *View) Ready() *Snapshot {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -21,28 +21,29 @@
 	return v.ready
 }
 
-// Staying returns the hosts that are alive and not on their way out: those that
-// take work and those that will.
+// Staying returns the hosts that are alive and not leaving: those that are ready
+// and those that are still starting.
 func (v *View) Staying() *Snapshot {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.rebuild()
-	return v.staying
+	return v.active
 }
 
-// Unreached returns the hosts that are gone, which may come back.
+// Unreached returns the hosts that are gone and remembered, since they may come
+// back.
 func (v *View) Unreached() *Snapshot {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.rebuild()
-	return v.unreached
+	return v.gone
 }
 
 // Current returns the hosts that are not gone, sorted by id, with the load and
-// table version that they told last.
+// table version that they reported last.
 func (v *View) Current() []Host { return v.current(v.Hosts()) }
 
-// current returns the hosts of a snapshot as they are known now.
+// current returns the hosts of a snapshot with their latest known state.
 func (v *View) current(s *Snapshot) []Host {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -51,47 +52,49 @@
 		if h.ID == v.self.ID {
 			hosts[i] = v.self
 		} else if e := v.hosts[h.ID]; e != nil {
-			hosts[i] = e.news.Host
+			hosts[i] = e.update.Host
 		}
 	}
 	return hosts
 }
 
-// takeSnapshots brings the snapshots up to date. The caller holds the lock.
-func (v *View) takeSnapshots() {
-	known, staying, ready, unreached := []Host{v.self}, []Host{}, []Host{}, []Host{}
+// rebuildSnapshots updates the snapshots. The caller must hold the lock.
+func (v *View) rebuildSnapshots() {
+	known, active, ready, gone := []Host{v.self}, []Host{}, []Host{}, []Host{}
 	if v.self.State == Ready {
 		ready = append(ready, v.self)
 	}
 	if v.self.State != Leaving {
-		staying = append(staying, v.self)
+		active = append(active, v.self)
 	}
 	for _, e := range v.hosts {
-		h := e.news.Host
+		h := e.update.Host
 		if e.gone() {
-			unreached = append(unreached, h)
+			gone = append(gone, h)
 			continue
 		}
 		known = append(known, h)
-		if e.stays() {
-			staying = append(staying, h)
+		if e.active() {
+			active = append(active, h)
 		}
-		if e.stays() && h.State == Ready {
+		if e.active() && h.State == Ready {
 			ready = append(ready, h)
 		}
 	}
-	v.known = v.known.replaced(known)
-	v.staying = v.staying.replaced(staying)
-	v.ready = v.ready.replaced(ready)
-	v.unreached = v.unreached.replaced(unreached)
+	v.known = v.known.withHosts(known)
+	v.active = v.active.withHosts(active)
+	v.ready = v.ready.withHosts(ready)
+	v.gone = v.gone.withHosts(gone)
 }
 
-func (e *entry) stays() bool {
-	return e.news.Status == Alive && e.news.Host.State != Leaving && !e.listedLeaving
+// active reports whether the host is alive and not leaving.
+func (e *entry) active() bool {
+	return e.update.Status == Alive && e.update.Host.State != Leaving && !e.listedLeaving
 }
 
-// replaced returns a snapshot of hosts: this one if it has the same.
-func (s *Snapshot) replaced(hosts []Host) *Snapshot {
+// withHosts returns a snapshot of the hosts. It is s itself if the hosts are the
+// same, so that what s has derived from them is kept.
+func (s *Snapshot) withHosts(hosts []Host) *Snapshot {
 	next := NewSnapshot(hosts)
 	if slices.Equal(s.hosts, next.hosts) {
 		return s
@@ -99,35 +102,37 @@
 	return next
 }
 
-// missedFor is how long a host that did not leave by itself counts as missed.
-const missedFor = 10 * time.Minute
+// missingPeriod is how long a host that is gone without having left counts as
+// missing.
+const missingPeriod = 10 * time.Minute
 
-// InMinority tells whether fewer than half of the hosts that should be there
-// are heard of, this daemon included. Hosts that left by themselves are not
-// missed.
+// InMinority reports whether fewer than half of the expected hosts are alive,
+// this daemon's own included. Hosts that have left are not expected.
 func (v *View) InMinority() bool {
-	heard, missed := v.count()
-	return heard < missed
+	alive, missing := v.countHosts()
+	return alive < missing
 }
 
-// Missed returns how many hosts should be there but are not heard of.
+// Missed returns the number of expected hosts that are suspect or gone.
 func (v *View) Missed() int {
-	_, missed := v.count()
-	return missed
+	_, missing := v.countHosts()
+	return missing
 }
 
-func (v *View) count() (heard, missed int) {
+// countHosts counts the hosts that are alive, including this daemon's own, and
+// those that are missing: suspect, or gone without having left.
+func (v *View) countHosts() (alive, missing int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	heard = 1
+	alive = 1
 	for _, e := range v.hosts {
 		switch {
-		case e.news.Status == Alive:
-			heard++
-		case e.gone() && (e.news.Host.State == Leaving || v.clock.Since(e.since) > missedFor):
+		case e.update.Status == Alive:
+			alive++
+		case e.gone() && (e.update.Host.State == Leaving || v.clock.Since(e.since) > missingPeriod):
 		default:
-			missed++
+			missing++
 		}
 	}
-	return heard, missed
+	return alive, missing
 }
--- a/internal/membership/ring.go
+++ b/internal/membership/ring.go
@@ -9,15 +9,15 @@
 	"github.com/beechhead/beechhead/internal/stat"
 )
 
-// Rings is the number of rings on which hosts watch each other. Each host
+// Rings is the number of rings on which hosts monitor each other. Each host
 // exchanges heartbeats with its successor on each ring. Several rings in
-// independent orders form a graph whose diameter grows with the logarithm of
-// the number of hosts, while each host keeps the same few connections.
+// independent orders form a graph whose diameter grows with the logarithm of the
+// number of hosts, while the number of connections per host stays constant.
 const Rings = 4
 
-// Partners returns the hosts that this daemon exchanges heartbeats with: its
-// successors on the rings, each once. There are fewer than Rings only if
-// there are no more hosts.
+// Partners returns the hosts to which this daemon sends heartbeats: its
+// successors on the rings, each once. There are fewer than Rings only if there
+// are fewer other hosts.
 func (v *View) Partners() []Host {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -25,8 +25,8 @@
 	return slices.Clone(v.rings)
 }
 
-// Digest returns a hash of which incarnations are there, in which state. Two
-// daemons that agree on the hosts have the same.
+// Digest returns a hash of the incarnations that are not gone and of their
+// states. Daemons that know the same hosts have the same digest.
 func (v *View) Digest() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -34,8 +34,8 @@
 	return v.digest
 }
 
-// rebuild brings rings, digest and snapshots up to date. The caller holds the
-// lock.
+// rebuild updates rings, digest and snapshots if they are stale. The caller must
+// hold the lock.
 func (v *View) rebuild() {
 	if !v.stale {
 		return
@@ -44,22 +44,25 @@
 	var others []Host
 	v.digest = 0
 	if !v.departed {
-		v.digest = fingerprint(v.self)
+		v.digest = hostHash(v.self)
 	}
 	for _, e := range v.hosts {
 		if !e.gone() {
-			others = append(others, e.news.Host)
-			v.digest ^= fingerprint(e.news.Host)
+			others = append(others, e.update.Host)
+			v.digest ^= hostHash(e.update.Host)
 		}
 	}
 	v.rings = successors(v.self.ID, others)
-	v.takeSnapshots()
+	v.rebuildSnapshots()
 }
 
-func fingerprint(h Host) uint64 {
+// hostHash returns a hash of a host's incarnation and state.
+func hostHash(h Host) uint64 {
 	return stat.Mix(stat.Mix(xxhash.Sum64String(string(h.ID))^h.Incarnation) + uint64(h.State))
 }
 
+// successors returns the partners of self: on each ring, the first host that is
+// not yet chosen on an earlier one.
 func successors(self HostID, others []Host) []Host {
 	chosen := map[HostID]bool{}
 	var partners []Host
@@ -74,17 +77,16 @@
 	return partners
 }
 
-// successor returns the host that follows self on a ring and is not chosen
-// yet.
+// successor returns the first host after self on a ring that is not yet chosen.
 func successor(ring uint64, self HostID, others []Host, chosen map[HostID]bool) (best Host, ok bool) {
-	own := position(ring, self)
+	own := ringPosition(ring, self)
 	var nearest uint64
 	for _, h := range others {
 		if chosen[h.ID] {
 			continue
 		}
-		// The difference wraps around, as the ring does.
-		distance := position(ring, h.ID) - own
+		// The unsigned difference wraps around, as the ring does.
+		distance := ringPosition(ring, h.ID) - own
 		if !ok || distance < nearest {
 			best, nearest, ok = h, distance, true
 		}
@@ -92,7 +94,8 @@
 	return best, ok
 }
 
-func position(ring uint64, id HostID) uint64 {
+// ringPosition returns a host's position on a ring.
+func ringPosition(ring uint64, id HostID) uint64 {
 	return stat.Mix(xxhash.Sum64String(string(id)) + ring)
 }
 
--- a/internal/membership/spread.go
+++ b/internal/membership/sample.go
@@ -8,11 +8,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Spread returns at most n of the hosts for a key, drawn by their capacity
-// without putting any back: a host with twice the capacity is twice as likely
-// to come first. A key always gets the same hosts while these stay, so that
-// those who follow the answer keep their connections. Hosts that don't tell
-// their capacity count as the weakest that do.
+// Spread returns at most n of the hosts for a key, drawn without replacement with
+// weights proportional to their capacity: a host with twice the capacity is twice
+// as likely to come first. The result for a key is the same as long as the hosts
+// are, so that callers that use it keep their connections. A host of unknown
+// capacity counts with the least known one.
 func Spread(key string, hosts []Host, n int) []Host {
 	if len(hosts) <= n {
 		return hosts
--- a/internal/membership/spread_test.go
+++ b/internal/membership/sample_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// Two hosts of a zone carry sixteen times what the other thirty can. If callers
-// drew from all alike, the narrow links would be full while the wide ones stood
-// idle.
-func TestSpreadFollowsCapacity(t *testing.T) {
+// Guards against overloaded narrow links beside idle wide ones: two hosts have
+// sixteen times the capacity of the other thirty, so a uniform draw would give
+// the small hosts too many callers.
+func TestSamplesAreProportionalToCapacity(t *testing.T) {
 	var hosts []Host
 	for i := range 32 {
 		h := Host{ID: HostID(fmt.Sprintf("host-%d", i)), Capacity: 40}
@@ -24,7 +24,7 @@
 	for i := range callers {
 		chosen := Spread(fmt.Sprintf("10.0.%d.%d", i/256, i%256), hosts, 8)
 		if len(chosen) != 8 {
-			t.Fatalf("%d hosts", len(chosen))
+			t.Fatalf("got %d hosts, want 8", len(chosen))
 		}
 		for _, h := range chosen {
 			share[h.ID] += 1.0 / 8 / callers
@@ -41,23 +41,23 @@
 	}
 }
 
-// A caller that asks again must be told the same hosts, or it would give up its
-// connections each time.
-func TestSpreadStaysForACaller(t *testing.T) {
+// Guards against callers that drop their connections on each lookup because they
+// get other hosts. When a host is removed, only that host is replaced.
+func TestSampleIsStableForACaller(t *testing.T) {
 	var hosts []Host
 	for i := range 20 {
 		hosts = append(hosts, Host{ID: HostID(fmt.Sprintf("host-%d", i)), Capacity: uint32(i % 3)})
 	}
 	before := Spread("caller", hosts, 5)
 	if !slices.Equal(before, Spread("caller", hosts, 5)) {
-		t.Error("the same caller is told other hosts")
+		t.Error("the same caller gets other hosts")
 	}
 	gone := before[0].ID
 	after := Spread("caller", slices.DeleteFunc(hosts, func(h Host) bool { return h.ID == gone }), 5)
 	if !slices.Equal(after[:4], before[1:]) {
-		t.Errorf("one host went, and the caller is told %v instead of %v", after, before)
+		t.Errorf("after one host was removed, got %v from %v", after, before)
 	}
 	if few := Spread("caller", before, 8); len(few) != 5 {
-		t.Errorf("%d of 5 hosts", len(few))
+		t.Errorf("got %d hosts, want all 5", len(few))
 	}
 }
--- a/internal/membership/snapshot.go
+++ b/internal/membership/snapshot.go
@@ -6,43 +6,43 @@
 	"sync"
 )
 
-// maxSpreads bounds the answers of Spread that a snapshot keeps.
-const maxSpreads = 256
+// maxSamples bounds the results of Spread that a snapshot caches.
+const maxSamples = 256
 
-// Snapshot is the hosts of one kind at one moment. A view hands out the same
-// pointer until one of these hosts comes, goes or changes its state, so that
-// what follows from the hosts is derived once. It is safe for concurrent use.
+// Snapshot is a set of hosts at one moment. A view returns the same pointer until
+// one of these hosts is added, removed or changes its state, so that orders,
+// zones and samples are derived once. It is safe for concurrent use.
 type Snapshot struct {
-	// hosts are sorted by id and never change. Sequence, Load and TableVersion
-	// are zero: they change without a change of the hosts.
+	// hosts are sorted by id and never change. Their Sequence, Load and
+	// TableVersion are zero, since these change too often.
 	hosts []Host
 
 	mu      sync.Mutex
 	orders  map[orderKey]*Order
 	zones   map[string]*Snapshot
-	spreads map[string][]Host
-	// addresses has the peer addresses; nil until it is asked for.
+	samples map[string][]Host
+	// addresses has the peer addresses; it is nil until the first use.
 	addresses map[string]bool
 }
 
-// orderKey names an order of the hosts of a snapshot.
+// orderKey identifies an order of the hosts of a snapshot.
 type orderKey struct {
-	key     string
-	capable bool
+	key               string
+	highCapacityFirst bool
 }
 
-// NewSnapshot returns a snapshot of some hosts.
+// NewSnapshot returns a snapshot of the hosts.
 func NewSnapshot(hosts []Host) *Snapshot {
 	s := &Snapshot{hosts: make([]Host, 0, len(hosts))}
 	for _, h := range hosts {
-		s.hosts = append(s.hosts, h.lasting())
+		s.hosts = append(s.hosts, h.withoutVolatile())
 	}
 	slices.SortFunc(s.hosts, func(a, b Host) int { return cmp.Compare(a.ID, b.ID) })
 	return s
 }
 
-// lasting returns the host without what changes all the time.
-func (h Host) lasting() Host {
+// withoutVolatile returns the host without the fields that change often.
+func (h Host) withoutVolatile() Host {
 	h.Sequence, h.Load, h.TableVersion = 0, 0, 0
 	return h
 }
@@ -53,7 +53,7 @@
 // All returns the hosts, sorted by id. The caller must not change them.
 func (s *Snapshot) All() []Host { return s.hosts }
 
-// Find returns the host of an id.
+// Find returns the host with the given id.
 func (s *Snapshot) Find(id HostID) (Host, bool) {
 	i, ok := slices.BinarySearchFunc(s.hosts, id, func(h Host, id HostID) int { return cmp.Compare(h.ID, id) })
 	if !ok {
@@ -62,7 +62,7 @@
 	return s.hosts[i], true
 }
 
-// HasPeer tells whether a host has a peer address.
+// HasPeer reports whether a host of the snapshot has the peer address.
 func (s *Snapshot) HasPeer(address string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,25 +75,28 @@
 	return s.addresses[address]
 }
 
-// Order is hosts in the order of their rendezvous scores for a key.
+// Order is a list of hosts sorted by their rendezvous scores for a key.
 type Order struct {
-	// Hosts has the highest score first. It must not be changed.
+	// Hosts must not be changed. Unless high-capacity hosts are put first, the
+	// host with the highest score is first.
 	Hosts     []Host
 	positions map[HostID]int
 }
 
-// Position returns how many hosts come before one.
+// Position returns how many hosts precede the given one.
 func (o *Order) Position(id HostID) (int, bool) {
 	n, ok := o.positions[id]
 	return n, ok
 }
 
-// Order returns the hosts in the order of a key.
+// Order returns the hosts sorted by their rendezvous scores for a key.
 func (s *Snapshot) Order(key string) *Order { return s.order(orderKey{key: key}) }
 
-// CapableOrder returns the hosts in the order of a key, the capable ones first;
-// see CapableFirst.
-func (s *Snapshot) CapableOrder(key string) *Order { return s.order(orderKey{key: key, capable: true}) }
+// CapableOrder returns the hosts in the order of a key, with the high-capacity
+// ones first; see CapableFirst.
+func (s *Snapshot) CapableOrder(key string) *Order {
+	return s.order(orderKey{key: key, highCapacityFirst: true})
+}
 
 func (s *Snapshot) order(k orderKey) *Order {
 	s.mu.Lock()
@@ -102,7 +105,7 @@
 		return o
 	}
 	o := &Order{Hosts: Rank(k.key, s.hosts), positions: make(map[HostID]int, len(s.hosts))}
-	if k.capable {
+	if k.highCapacityFirst {
 		o.Hosts = CapableFirst(o.Hosts)
 	}
 	for i, h := range o.Hosts {
@@ -135,18 +138,18 @@
 }
 
 // Spread returns at most n hosts for a key, as the function Spread does, and
-// keeps the answer: the same keys ask again and again. The result must not be
-// changed.
+// caches the result, since the same keys are requested repeatedly. The result
+// must not be changed.
 func (s *Snapshot) Spread(key string, n int) []Host {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if chosen, ok := s.spreads[key]; ok && len(chosen) == min(n, len(s.hosts)) {
+	if chosen, ok := s.samples[key]; ok && len(chosen) == min(n, len(s.hosts)) {
 		return chosen
 	}
-	if s.spreads == nil || len(s.spreads) >= maxSpreads {
-		s.spreads = map[string][]Host{}
+	if s.samples == nil || len(s.samples) >= maxSamples {
+		s.samples = map[string][]Host{}
 	}
 	chosen := Spread(key, s.hosts, n)
-	s.spreads[key] = chosen
+	s.samples[key] = chosen
 	return chosen
 }
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -3,58 +3,60 @@
 import "time"
 
 const (
-	// SuspicionTimeout is how long a suspect may take to refute it.
+	// SuspicionTimeout is how long a suspect has to refute the suspicion.
 	SuspicionTimeout = 500 * time.Millisecond
-	// rememberGone is how long a host that is gone is remembered, so that
-	// old news can't revive it and it can be looked for again.
-	rememberGone = time.Hour
+	// goneRetention is how long a host that is gone is remembered, so that late
+	// updates can't make it alive again and it can be probed.
+	goneRetention = time.Hour
 )
 
-// Suspect notes that an incarnation answered neither on its connection nor on
-// a new one.
+// Suspect marks a host as suspect after its incarnation responded neither on the
+// open connection nor on a new one.
 func (v *View) Suspect(id HostID, incarnation uint64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	e := v.hosts[id]
-	if e == nil || e.news.Host.Incarnation != incarnation || e.news.Status != Alive {
+	if e == nil || e.update.Host.Incarnation != incarnation || e.update.Status != Alive {
 		return
 	}
-	e.news.Status = Suspect
+	e.update.Status = Suspect
 	e.since = v.clock.Now()
-	v.schedule(e)
+	v.scheduleSweep(e)
 	v.Count("hosts.suspected")
 	v.changed(id, true)
 }
 
-// schedule has Sweep look at a host when its time is over. The caller holds the
-// lock.
-func (v *View) schedule(e *entry) {
-	at, ok := e.ends()
+// scheduleSweep makes Sweep run by the deadline of a host. The caller must hold
+// the lock.
+func (v *View) scheduleSweep(e *entry) {
+	at, ok := e.deadline()
 	if ok && (v.sweepAt.IsZero() || at.Before(v.sweepAt)) {
 		v.sweepAt = at
 	}
 }
 
-// ends returns when a host that stays silent is gone or forgotten.
-func (e *entry) ends() (at time.Time, ok bool) {
-	switch e.news.Status {
+// deadline returns when a suspect becomes gone, or when a host that is gone is
+// forgotten, unless a newer update arrives before.
+func (e *entry) deadline() (at time.Time, ok bool) {
+	switch e.update.Status {
 	case Suspect:
 		return e.since.Add(SuspicionTimeout), true
 	case Gone:
-		return e.since.Add(rememberGone), true
+		return e.since.Add(goneRetention), true
 	}
 	return time.Time{}, false
 }
 
-// Sweep finds the suspects that did not refute it in time, and forgets hosts
-// that have been gone for long.
+// Sweep marks the suspects that did not refute the suspicion in time as gone, and
+// forgets hosts that have been gone for long.
 func (v *View) Sweep() {
 	for _, h := range v.sweep() {
 		v.OnGone(h)
 	}
 }
 
-func (v *View) sweep() (ended []Host) {
+// sweep returns the hosts that it has marked as gone.
+func (v *View) sweep() (gone []Host) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := v.clock.Now()
@@ -63,7 +65,7 @@
 	}
 	v.sweepAt = time.Time{}
 	for id, e := range v.hosts {
-		at, ok := e.ends()
+		at, ok := e.deadline()
 		switch {
 		case !ok:
 			continue
@@ -73,35 +75,35 @@
 			v.stale = true
 			continue
 		default:
-			e.news.Status = Gone
+			e.update.Status = Gone
 			e.since = now
 			v.changed(id, true)
-			ended = append(ended, e.news.Host)
+			gone = append(gone, e.update.Host)
 		}
-		v.schedule(e)
+		v.scheduleSweep(e)
 	}
-	return ended
+	return gone
 }
 
-// Forgive gives every suspect its full time again. A daemon that was paused
-// calls it, because refutations may have come meanwhile that it has not read.
+// Forgive restarts the suspicion timeout of every suspect. A daemon whose process
+// was paused calls it, since refutations may have arrived that it has not read.
 func (v *View) Forgive() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, e := range v.hosts {
-		if e.news.Status == Suspect {
+		if e.update.Status == Suspect {
 			e.since = v.clock.Now()
 		}
 	}
 }
 
-// hearOfSelf refutes what others wrongly think of this daemon. Without it, a
-// host that answered late once would stay out until it restarts.
-func (v *View) hearOfSelf(n News) {
+// applyToSelf handles an update of this daemon itself and refutes a wrong status.
+// Without it, a host that responded late once would be excluded until it restarts.
+func (v *View) applyToSelf(n News) {
 	switch {
 	case n.Host.Incarnation > v.self.Incarnation && v.self.State == Starting:
-		// The clock was set back since an earlier run. Nothing depends on
-		// the incarnation yet, so a greater one can be taken.
+		// The clock was set back since an earlier run. Nothing depends on the
+		// incarnation yet, so it can be replaced by a greater one.
 		v.self.Incarnation = n.Host.Incarnation + 1
 		v.announceSelf()
 	case n.Host.Incarnation > v.self.Incarnation:
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -8,55 +8,55 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// AddressLifetime is how long callers may keep an answer of addresses, and
-// therefore how long a leaving host still accepts requests.
+// AddressLifetime is how long callers may cache a list of addresses, and therefore
+// how long a leaving host still accepts requests.
 const AddressLifetime = 5 * time.Second
 
-// View is one daemon's knowledge of all hosts. It is safe for concurrent use.
+// View is one daemon's view of all hosts. It is safe for concurrent use.
 type View struct {
 	clock clockwork.Clock
 	// OnGone is called for each incarnation that is found gone. It must be
-	// set before the view is used and must not call the view.
+	// set before the view is used, and must not call the view.
 	OnGone func(Host)
 	// Count counts an event by name.
 	Count func(name string)
 	// Rand returns numbers in [0, 1).
 	Rand func() float64
-	// Wake has a signal when there is news that should be sent at once.
+	// Wake receives a signal when an update should be sent at once.
 	Wake chan struct{}
 
 	mu   sync.Mutex
 	self Host
-	// departed is set when this daemon's last request has ended.
+	// departed is set when this daemon has completed its last request.
 	departed bool
 	// leavingSince is zero until the daemon is leaving.
 	leavingSince time.Time
 	hosts        map[HostID]*entry
 	changes      changes
-	// sweepAt is no later than when Sweep has something to do.
+	// sweepAt is zero, or no later than the earliest deadline of a host.
 	sweepAt time.Time
 	// rings, digest and the snapshots are rebuilt when stale is set.
 	stale  bool
 	rings  []Host
 	digest uint64
-	// known has the hosts that are not gone, staying those that are alive and
-	// not on their way out, ready those that take work, and unreached those that
-	// are gone.
-	known, staying, ready, unreached *Snapshot
+	// known has the hosts that are not gone, active those that are alive and not
+	// leaving, ready the active ones that accept work, and gone those that are
+	// gone.
+	known, active, ready, gone *Snapshot
 }
 
 type entry struct {
-	news News
-	// since is when the status was taken on.
+	update News
+	// since is when the host got its present status.
 	since time.Time
-	// listedLeaving says that the platform has put the host on its way out
+	// listedLeaving is set when the platform's list shows the host as leaving
 	// during this incarnation.
 	listedLeaving bool
 }
 
-func (e *entry) gone() bool { return e.news.Status == Gone }
+func (e *entry) gone() bool { return e.update.Status == Gone }
 
-// NewView returns a view that knows only the daemon itself.
+// NewView returns a view that contains only the daemon itself.
 func NewView(clock clockwork.Clock, self Host) *View {
 	return &View{
 		clock:   clock,
@@ -69,22 +69,22 @@
 		changes: changes{},
 		stale:   true,
 
-		known:     &Snapshot{},
-		staying:   &Snapshot{},
-		ready:     &Snapshot{},
-		unreached: &Snapshot{},
+		known:  &Snapshot{},
+		active: &Snapshot{},
+		ready:  &Snapshot{},
+		gone:   &Snapshot{},
 	}
 }
 
-// Self returns what the daemon says of itself.
+// Self returns the state of this daemon.
 func (v *View) Self() Host {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.self
 }
 
-// UpdateSelf changes what the daemon says of itself, and has it sent at once
-// if its state has changed.
+// UpdateSelf changes the state of this daemon. If its lifecycle state changes, the
+// update is sent at once.
 func (v *View) UpdateSelf(change func(*Host)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -98,8 +98,9 @@
 	}
 }
 
-// SetLoad sets the number of requests in progress. It is news to all hosts
-// only when it has doubled or halved; partners hear each value anyway.
+// SetLoad sets the number of requests in progress. Only a change by about a
+// factor of two becomes an update for all hosts; partners get each value with the
+// next heartbeat anyway.
 func (v *View) SetLoad(load uint32) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -109,22 +110,23 @@
 	v.self.Load = load
 }
 
-// magnitude returns the number of binary digits, so that small changes of
-// small loads are no news either.
+// magnitude returns how often the load must be halved to fall below idleLoad, so
+// that changes of small loads cause no update either.
 func magnitude(load uint32) int {
 	n := 0
-	for load >= minNewsLoad {
+	for load >= idleLoad {
 		load /= 2
 		n++
 	}
 	return n
 }
 
-// minNewsLoad is the load under which a host counts as idle.
-const minNewsLoad = 8
+// idleLoad is the load below which a host counts as idle.
+const idleLoad = 8
 
-// announceSelf makes the own state newer than all that was said of it. The
-// caller holds the lock.
+// announceSelf increases the sequence number, so that this daemon's state overrides
+// all earlier updates of it, and has it sent at once. The caller must hold the
+// lock.
 func (v *View) announceSelf() {
 	v.self.Sequence++
 	v.stale = true
@@ -138,8 +140,8 @@
 	}
 }
 
-// Accepting tells whether this daemon takes requests: it is ready, or it is
-// leaving and callers may still follow an old answer of addresses.
+// Accepting reports whether this daemon accepts requests: it is ready, or it is
+// leaving and callers may still use a list of addresses that contains it.
 func (v *View) Accepting() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -149,7 +151,7 @@
 	return v.self.State == Ready
 }
 
-// Depart says that this incarnation is over. It can't be taken back.
+// Depart announces that this incarnation has terminated. It can't be undone.
 func (v *View) Depart() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -157,88 +159,88 @@
 	v.announceSelf()
 }
 
-// SelfNews returns the own state as it is sent to others.
+// SelfNews returns the update of this daemon's state that is sent to others.
 func (v *View) SelfNews() News {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.selfNews()
+	return v.selfUpdate()
 }
 
-func (v *View) selfNews() News {
+func (v *View) selfUpdate() News {
 	if v.departed {
 		return News{Host: v.self, Status: Gone}
 	}
 	return News{Host: v.self, Status: Alive}
 }
 
-// Observe takes in what a host has just said of itself.
+// Observe applies the state that an alive host has sent of itself.
 func (v *View) Observe(h Host) { v.ObserveNews(News{Host: h, Status: Alive}) }
 
-// ObserveNews takes in what a host has just said of itself. Load and table
-// version are newer in it than in any news that was passed on.
+// ObserveNews applies an update that a host has sent of itself. Its load and table
+// version are newer than in any update relayed by others.
 func (v *View) ObserveNews(n News) {
 	v.Apply(n)
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	e := v.hosts[n.Host.ID]
-	if e == nil || e.news.Host.Incarnation != n.Host.Incarnation || e.news.Host.Sequence != n.Host.Sequence {
+	if e == nil || e.update.Host.Incarnation != n.Host.Incarnation || e.update.Host.Sequence != n.Host.Sequence {
 		return
 	}
-	e.news.Host.Load = n.Host.Load
-	e.news.Host.TableVersion = n.Host.TableVersion
+	e.update.Host.Load = n.Host.Load
+	e.update.Host.TableVersion = n.Host.TableVersion
 }
 
-// Apply takes in news that was passed on. Older news than what is known is
-// ignored.
+// Apply applies an update relayed by another host. An update that is older than
+// what is known is ignored.
 func (v *View) Apply(n News) {
 	if n.Host.ID == "" || n.Status < Alive || n.Status > Gone {
 		return
 	}
 	v.mu.Lock()
-	var ended []Host
+	var gone []Host
 	if n.Host.ID == v.self.ID {
-		v.hearOfSelf(n)
+		v.applyToSelf(n)
 	} else {
-		ended = v.merge(n)
+		gone = v.merge(n)
 	}
 	v.mu.Unlock()
-	for _, h := range ended {
+	for _, h := range gone {
 		v.OnGone(h)
 	}
 }
 
-// merge takes in news of another host and returns the incarnations that it
-// ends. The caller holds the lock.
+// merge applies an update of another host and returns the incarnation that is gone
+// because of it, if any. The caller must hold the lock.
 func (v *View) merge(n News) []Host {
 	e := v.hosts[n.Host.ID]
 	if e == nil {
-		e = &entry{news: n, since: v.clock.Now()}
+		e = &entry{update: n, since: v.clock.Now()}
 		v.hosts[n.Host.ID] = e
-		v.schedule(e)
+		v.scheduleSweep(e)
 		v.changed(n.Host.ID, true)
 		return nil
 	}
-	if !n.supersedes(e.news) {
+	if !n.supersedes(e.update) {
 		return nil
 	}
 	old := *e
-	replaced := n.Host.Incarnation != old.news.Host.Incarnation
-	e.news = n
+	replaced := n.Host.Incarnation != old.update.Host.Incarnation
+	e.update = n
 	if replaced {
 		e.listedLeaving = false
 	}
-	if replaced || n.Status != old.news.Status {
+	if replaced || n.Status != old.update.Status {
 		e.since = v.clock.Now()
-		v.schedule(e)
+		v.scheduleSweep(e)
 	}
-	v.changed(n.Host.ID, replaced || n.Status != old.news.Status || n.Host.State != old.news.Host.State)
+	v.changed(n.Host.ID, replaced || n.Status != old.update.Status || n.Host.State != old.update.Host.State)
 	if !old.gone() && (replaced || n.Status == Gone) {
-		return []Host{old.news.Host}
+		return []Host{old.update.Host}
 	}
 	return nil
 }
 
-// changed queues news of a host for sending. The caller holds the lock.
+// changed queues an update of a host for sending. The caller must hold the lock.
 func (v *View) changed(id HostID, urgent bool) {
 	v.changes.put(id, urgent)
 	if urgent {
@@ -247,8 +249,8 @@
 	}
 }
 
-// MarkListedLeaving notes that the platform's list has put a host on its way
-// out. It ends with the host's present incarnation.
+// MarkListedLeaving marks a host as leaving because the platform's list says so.
+// The mark lasts until the host has a new incarnation.
 func (v *View) MarkListedLeaving(id HostID) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -12,25 +12,25 @@
 	"github.com/beechhead/beechhead/internal/membership"
 )
 
-// report is one piece of news of host "b" in a scenario.
-type report struct {
+// hostUpdate is an update of host "b" in a scenario.
+type hostUpdate struct {
 	Incarnation uint64            `json:"incarnation"`
 	Sequence    uint64            `json:"sequence"`
 	Status      membership.Status `json:"status"`
 }
 
-// A view takes in news in any order. What it believes in the end, and which
-// incarnations it gave up, must not depend on late or repeated news.
-func TestNewsInAnyOrder(t *testing.T) {
+// Guards against late or repeated updates that change the final status of a host,
+// or the incarnations that are reported as gone.
+func TestUpdatesInAnyOrder(t *testing.T) {
 	data, err := os.ReadFile("testdata/news.json")
 	if err != nil {
 		t.Fatal(err)
 	}
 	var cases []struct {
-		Name   string   `json:"name"`
-		News   []report `json:"news"`
-		Status string   `json:"status"`
-		Gone   []uint64 `json:"gone"`
+		Name   string       `json:"name"`
+		News   []hostUpdate `json:"news"`
+		Status string       `json:"status"`
+		Gone   []uint64     `json:"gone"`
 	}
 	if err := json.Unmarshal(data, &cases); err != nil {
 		t.Fatal(err)
@@ -46,17 +46,17 @@
 				}})
 			}
 			if got := v.All()[0].Status.String(); got != c.Status {
-				t.Errorf("got %s, want %s", got, c.Status)
+				t.Errorf("status is %s, want %s", got, c.Status)
 			}
 			if !slices.Equal(gone, c.Gone) {
-				t.Errorf("gave up %v, want %v", gone, c.Gone)
+				t.Errorf("OnGone was called for %v, want %v", gone, c.Gone)
 			}
 		})
 	}
 }
 
-// A daemon reads that it is suspect or gone. Unless it makes its own state
-// newer than that, it stays out for good although it is well.
+// Guards against a healthy daemon that is excluded for good: when it learns that
+// it is suspect or gone, it must refute that with a greater sequence number.
 func TestRefutation(t *testing.T) {
 	v := membership.NewView(clockwork.NewFakeClock(), membership.Host{ID: "a", Incarnation: 5, Sequence: 3, State: membership.Ready})
 	v.Apply(membership.News{Status: membership.Gone, Host: membership.Host{ID: "a", Incarnation: 5, Sequence: 9}})
@@ -65,7 +65,7 @@
 	}
 	v.Apply(membership.News{Status: membership.Gone, Host: membership.Host{ID: "a", Incarnation: 4, Sequence: 90}})
 	if got := v.Self().Sequence; got != 10 {
-		t.Errorf("news of an earlier incarnation changed the sequence to %d", got)
+		t.Errorf("an update of an earlier incarnation changed the sequence to %d", got)
 	}
 }
 
@@ -85,9 +85,9 @@
 	return v
 }
 
-// Callers take the first address. Hosts that are leaving, silent, overloaded
-// or on the platform's way out must not be named, and not all callers may be
-// sent to the same host.
+// Callers use the first address. Hosts that are leaving, suspect, overloaded or
+// listed as leaving by the platform must not be returned, and not all callers may
+// be sent to the same host.
 func TestAddresses(t *testing.T) {
 	v := fleet()
 	draws := []float64{0.9, 0.1, 0.5}
@@ -104,18 +104,18 @@
 	}
 }
 
-// A host leaves while callers still hold answers that name it. It accepts for
-// as long as they may, and not longer.
-func TestLeavingHostAcceptsForAWhile(t *testing.T) {
+// A leaving host accepts requests for as long as callers may use a cached list of
+// addresses that contains it, and not longer.
+func TestLeavingHostAcceptsForAddressLifetime(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	v := membership.NewView(clock, membership.Host{ID: "a", State: membership.Ready})
 	v.UpdateSelf(func(h *membership.Host) { h.State = membership.Leaving })
 	clock.Advance(membership.AddressLifetime - time.Millisecond)
 	if !v.Accepting() {
-		t.Error("refuses too early")
+		t.Error("refuses requests before the address lifetime is over")
 	}
 	clock.Advance(time.Millisecond)
 	if v.Accepting() {
-		t.Error("accepts too long")
+		t.Error("accepts requests after the address lifetime")
 	}
 }
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -17,43 +17,43 @@
 	rpc peerv1connect.PeerServiceClient
 }
 
-// compressFrom is the size in bytes from which a message is compressed: only
-// tables are that large, and shorter messages gain nothing.
-const compressFrom = 4096
+// compressMinBytes is the minimum size of a message that is compressed. Only tables
+// are that large, and compression does not pay off for shorter messages.
+const compressMinBytes = 4096
 
-// NewClient returns a client of the daemon whose peer address is given, such
-// as "10.0.0.1:7401".
+// NewClient returns a client of the daemon at a peer address such as
+// "10.0.0.1:7401".
 func NewClient(transport http.RoundTripper, scheme, address string, options ...connect.ClientOption) *Client {
-	options = append(options, connect.WithSendGzip(), connect.WithCompressMinBytes(compressFrom))
+	options = append(options, connect.WithSendGzip(), connect.WithCompressMinBytes(compressMinBytes))
 	return &Client{rpc: peerv1connect.NewPeerServiceClient(&http.Client{Transport: transport}, scheme+"://"+address, options...)}
 }
 
-// Heartbeat exchanges views.
+// Heartbeat exchanges the daemons' views of the hosts.
 func (c *Client) Heartbeat(ctx context.Context, req *peerv1.HeartbeatRequest) (*peerv1.HeartbeatResponse, error) {
 	return unary(ctx, req, c.rpc.Heartbeat)
 }
 
-// PushTable offers a table.
+// PushTable announces a version of the table.
 func (c *Client) PushTable(ctx context.Context, req *peerv1.PushTableRequest) (*peerv1.PushTableResponse, error) {
 	return unary(ctx, req, c.rpc.PushTable)
 }
 
-// FetchTable asks for the table in force.
+// FetchTable fetches the table in force.
 func (c *Client) FetchTable(ctx context.Context, req *peerv1.FetchTableRequest) (*peerv1.FetchTableResponse, error) {
 	return unary(ctx, req, c.rpc.FetchTable)
 }
 
-// AcquireSlices asks for shares of limits.
+// AcquireSlices requests slices of limits from their owner.
 func (c *Client) AcquireSlices(ctx context.Context, req *peerv1.AcquireSlicesRequest) (*peerv1.AcquireSlicesResponse, error) {
 	return unary(ctx, req, c.rpc.AcquireSlices)
 }
 
-// Facts asks for what the daemon knows from the platform's store.
+// Facts fetches the facts that the daemon has from the platform's store.
 func (c *Client) Facts(ctx context.Context, req *peerv1.FactsRequest) (*peerv1.FactsResponse, error) {
 	return unary(ctx, req, c.rpc.Facts)
 }
 
-// Status asks for the daemon's figures.
+// Status fetches the daemon's status.
 func (c *Client) Status(ctx context.Context) (*peerv1.StatusResponse, error) {
 	return unary(ctx, &peerv1.StatusRequest{}, c.rpc.Status)
 }
@@ -66,7 +66,7 @@
 	return resp.Msg, nil
 }
 
-// Stream is the entry daemon's end of a reservations stream.
+// Stream is the entry daemon's side of a reservations stream.
 type Stream struct {
 	rpc    *connect.BidiStreamForClient[peerv1.ReservationsRequest, peerv1.ReservationsResponse]
 	box    *outbox[*peerv1.ReservationsRequest]
@@ -75,8 +75,8 @@
 	done   chan struct{}
 }
 
-// Reservations opens a stream. Each batch that comes is given to handle; done
-// is closed when the stream has ended.
+// Reservations opens a stream. Each received batch is passed to handle. Done is
+// closed when the stream has ended.
 func (c *Client) Reservations(ctx context.Context, hello *peerv1.Hello, handle func(*peerv1.ReservationsResponse)) *Stream {
 	ctx, cancel := context.WithCancel(ctx)
 	s := &Stream{
@@ -91,10 +91,10 @@
 	return s
 }
 
-// Send queues a batch; it does not block.
+// Send queues a batch without blocking.
 func (s *Stream) Send(req *peerv1.ReservationsRequest) { s.box.put(req) }
 
-// Done is closed when the stream has ended.
+// Done returns a channel that is closed when the stream has ended.
 func (s *Stream) Done() <-chan struct{} { return s.done }
 
 // Close ends the stream.
--- a/internal/peer/silence_test.go
+++ b/internal/peer/connection_test.go
@@ -11,8 +11,8 @@
 	"github.com/beechhead/beechhead/internal/standin"
 )
 
-// startRelayed serves the protocol behind a relay. The channel closed tells of
-// each session that ends.
+// startRelayed serves the protocol behind a relay. The channel closed receives a
+// value for each session that ends.
 func startRelayed(t *testing.T) (r *standin.Relay, s *peer.Server, closed chan struct{}) {
 	t.Helper()
 	closed = make(chan struct{}, 10)
@@ -51,40 +51,41 @@
 	return p
 }
 
-// openStream opens a stream and waits for a first answer on it.
+// openStream opens a stream and waits for the first response on it.
 func openStream(t *testing.T, p *peer.Pool, address string) *peer.Stream {
 	t.Helper()
-	answers := make(chan struct{}, 10)
+	responses := make(chan struct{}, 10)
 	handle := func(resp *peerv1.ReservationsResponse) {
 		if len(resp.GetPreempts()) > 0 {
-			answers <- struct{}{}
+			responses <- struct{}{}
 		}
 	}
 	stream := p.Client(address).Reservations(context.Background(), &peerv1.Hello{Host: "a", Incarnation: 1}, handle)
 	stream.Send(&peerv1.ReservationsRequest{Cancels: []uint64{1}})
-	<-answers
+	<-responses
 	return stream
 }
 
-// The connection under a quiet reservations stream goes silent. Neither end is
-// told; the entry daemon would wait for grants for ever, and the coordinator
-// would keep a session that nobody uses. The pings of either side find it.
-func TestQuietStreamOnSilentConnectionEnds(t *testing.T) {
+// Guards against idle reservations streams that hang for ever on a connection
+// that delivers nothing any more. Neither side gets an error: the entry daemon
+// would wait for grants, and the coordinator would keep an unused session. The
+// pings of both sides must detect it.
+func TestIdleStreamOnSilentConnectionEnds(t *testing.T) {
 	r, _, closed := startRelayed(t)
 	p := newPool(t)
 	stream := openStream(t, p, r.Address())
 	if r.Silence() != 1 {
-		t.Error("the stream is not on the one connection")
+		t.Error("the stream does not use the only connection")
 	}
 	<-stream.Done()
 	<-closed
 	openStream(t, p, r.Address()).Close()
 }
 
-// A heartbeat is not answered, since its connection is silent. Once replaced,
-// the next one goes over a new connection, and the streams on the old one end
-// at once.
-func TestReplacedConnectionWorks(t *testing.T) {
+// After a heartbeat has timed out on a connection that delivers nothing, Replace
+// must end the streams on it at once, and the next heartbeat must use a new
+// connection.
+func TestReplaceOpensNewConnection(t *testing.T) {
 	r, _, _ := startRelayed(t)
 	p := newPool(t)
 	stream := openStream(t, p, r.Address())
@@ -93,12 +94,12 @@
 	<-stream.Done()
 	resp, err := p.Client(r.Address()).Heartbeat(context.Background(), &peerv1.HeartbeatRequest{})
 	if err != nil || resp.GetDigest() != 7 {
-		t.Errorf("answer %v, error %v", resp, err)
+		t.Errorf("got response %v and error %v, want digest 7", resp, err)
 	}
 }
 
-// A host counts as gone although it is there. Its streams are ended, so that
-// it opens new ones and reports what the coordinator has forgotten.
+// When a host counts as gone although it is running, its streams must end, so that
+// it opens new ones and reports what the coordinator has dropped.
 func TestStreamsOfGoneHostEnd(t *testing.T) {
 	r, s, closed := startRelayed(t)
 	stream := openStream(t, newPool(t), r.Address())
--- a/internal/peer/fuzz_test.go
+++ b/internal/peer/fuzz_test.go
@@ -8,8 +8,8 @@
 	"github.com/beechhead/beechhead/internal/peer/peerv1"
 )
 
-// FuzzMergeRequests checks that two batches of whatever a peer may send lose
-// nothing and keep their order when they are merged into one.
+// FuzzMergeRequests checks that merging two arbitrary batches of a peer loses no
+// message and keeps their order.
 func FuzzMergeRequests(f *testing.F) {
 	f.Add(encodeSeed(f, &peerv1.ReservationsRequest{Reserves: []*peerv1.Reserve{{Sequence: 1, Cell: "a"}}}),
 		encodeSeed(f, &peerv1.ReservationsRequest{Releases: []*peerv1.Release{{Sequence: 1}}, Cancels: []uint64{2}}))
@@ -20,15 +20,15 @@
 			return
 		}
 		merged := mergeRequests([]*peerv1.ReservationsRequest{proto.CloneOf(&a), proto.CloneOf(&b)})
-		checkJoined(t, a.GetReserves(), b.GetReserves(), merged.GetReserves())
-		checkJoined(t, a.GetReleases(), b.GetReleases(), merged.GetReleases())
+		checkConcatenated(t, a.GetReserves(), b.GetReserves(), merged.GetReserves())
+		checkConcatenated(t, a.GetReleases(), b.GetReleases(), merged.GetReleases())
 		if len(merged.GetCancels()) != len(a.GetCancels())+len(b.GetCancels()) {
-			t.Fatalf("%d cancels", len(merged.GetCancels()))
+			t.Fatalf("got %d cancels, want %d", len(merged.GetCancels()), len(a.GetCancels())+len(b.GetCancels()))
 		}
 	})
 }
 
-// FuzzMergeResponses does the same for the answers.
+// FuzzMergeResponses checks the same for batches of responses.
 func FuzzMergeResponses(f *testing.F) {
 	f.Add(encodeSeed(f, &peerv1.ReservationsResponse{Grants: []*peerv1.Grant{{Sequence: 1, Endpoint: "e"}}}),
 		encodeSeed(f, &peerv1.ReservationsResponse{Refusals: []*peerv1.Refusal{{Sequence: 1}}, Preempts: []uint64{2}}))
@@ -38,10 +38,10 @@
 			return
 		}
 		merged := mergeResponses([]*peerv1.ReservationsResponse{proto.CloneOf(&a), proto.CloneOf(&b)})
-		checkJoined(t, a.GetGrants(), b.GetGrants(), merged.GetGrants())
-		checkJoined(t, a.GetRefusals(), b.GetRefusals(), merged.GetRefusals())
+		checkConcatenated(t, a.GetGrants(), b.GetGrants(), merged.GetGrants())
+		checkConcatenated(t, a.GetRefusals(), b.GetRefusals(), merged.GetRefusals())
 		if len(merged.GetPreempts()) != len(a.GetPreempts())+len(b.GetPreempts()) {
-			t.Fatalf("%d preempts", len(merged.GetPreempts()))
+			t.Fatalf("got %d preempts, want %d", len(merged.GetPreempts()), len(a.GetPreempts())+len(b.GetPreempts()))
 		}
 	})
 }
@@ -55,10 +55,11 @@
 	return data
 }
 
-func checkJoined[M proto.Message](t *testing.T, first, second, merged []M) {
+// checkConcatenated checks that merged has the messages of first, then of second.
+func checkConcatenated[M proto.Message](t *testing.T, first, second, merged []M) {
 	t.Helper()
 	if len(merged) != len(first)+len(second) {
-		t.Fatalf("%d and %d became %d", len(first), len(second), len(merged))
+		t.Fatalf("%d and %d messages were merged into %d", len(first), len(second), len(merged))
 	}
 	for i, m := range merged {
 		want := second
--- a/internal/peer/outbox.go
+++ b/internal/peer/outbox.go
@@ -9,13 +9,13 @@
 	"github.com/beechhead/beechhead/internal/peer/peerv1"
 )
 
-// outbox gathers messages while an earlier one is being sent, so that a busy
-// stream carries few, large batches.
+// outbox collects messages while an earlier one is being sent, so that a busy
+// stream carries a few large batches.
 type outbox[M proto.Message] struct {
 	mu     sync.Mutex
 	queue  []M
 	closed bool
-	// wake has room for one signal, so that put never blocks.
+	// wake is buffered for one signal, so that put never blocks.
 	wake chan struct{}
 }
 
@@ -51,8 +51,8 @@
 	return queue, b.closed
 }
 
-// drain sends what is put until the box is closed, the context ends or a send
-// fails.
+// drain merges and sends queued messages until the outbox is closed, the context
+// is done or a send fails. Closing it sends what is still queued.
 func (b *outbox[M]) drain(ctx context.Context, merge func([]M) M, send func(M) error) error {
 	for {
 		select {
--- a/internal/peer/peerv1/peerv1connect/peer.connect.go
+++ b/internal/peer/peerv1/peerv1connect/peer.connect.go
@@ -54,20 +54,21 @@
 
 // PeerServiceClient is a client for the beechhead.peer.v1.PeerService service.
 type PeerServiceClient interface {
-	// Reservations carries all reservations of one daemon at another, batched.
+	// Reservations carries all reservations of one daemon at another, in batches.
 	Reservations(context.Context) *connect.BidiStreamForClient[peerv1.ReservationsRequest, peerv1.ReservationsResponse]
-	// Heartbeat exchanges what both daemons know of the hosts.
+	// Heartbeat exchanges both daemons' views of the hosts.
 	Heartbeat(context.Context, *connect.Request[peerv1.HeartbeatRequest]) (*connect.Response[peerv1.HeartbeatResponse], error)
-	// PushTable tells of a newer version of the table and passes it on.
+	// PushTable announces a newer version of the table, which the receiver
+	// announces to its own partners.
 	PushTable(context.Context, *connect.Request[peerv1.PushTableRequest]) (*connect.Response[peerv1.PushTableResponse], error)
 	// FetchTable returns the table that the daemon has in force.
 	FetchTable(context.Context, *connect.Request[peerv1.FetchTableRequest]) (*connect.Response[peerv1.FetchTableResponse], error)
 	// AcquireSlices asks the owner of some limits for shares of them.
 	AcquireSlices(context.Context, *connect.Request[peerv1.AcquireSlicesRequest]) (*connect.Response[peerv1.AcquireSlicesResponse], error)
-	// Facts returns what the daemon knows from the platform's store, as far as
-	// the caller lacks it.
+	// Facts returns the facts that the daemon has from the platform's store and
+	// the requesting daemon lacks.
 	Facts(context.Context, *connect.Request[peerv1.FactsRequest]) (*connect.Response[peerv1.FactsResponse], error)
-	// Status returns the figures that operators see, as JSON.
+	// Status returns the status that operators see, as JSON.
 	Status(context.Context, *connect.Request[peerv1.StatusRequest]) (*connect.Response[peerv1.StatusResponse], error)
 }
 
@@ -175,20 +176,21 @@
 
 // PeerServiceHandler is an implementation of the beechhead.peer.v1.PeerService service.
 type PeerServiceHandler interface {
-	// Reservations carries all reservations of one daemon at another, batched.
+	// Reservations carries all reservations of one daemon at another, in batches.
 	Reservations(context.Context, *connect.BidiStream[peerv1.ReservationsRequest, peerv1.ReservationsResponse]) error
-	// Heartbeat exchanges what both daemons know of the hosts.
+	// Heartbeat exchanges both daemons' views of the hosts.
 	Heartbeat(context.Context, *connect.Request[peerv1.HeartbeatRequest]) (*connect.Response[peerv1.HeartbeatResponse], error)
-	// PushTable tells of a newer version of the table and passes it on.
+	// PushTable announces a newer version of the table, which the receiver
+	// announces to its own partners.
 	PushTable(context.Context, *connect.Request[peerv1.PushTableRequest]) (*connect.Response[peerv1.PushTableResponse], error)
 	// FetchTable returns the table that the daemon has in force.
 	FetchTable(context.Context, *connect.Request[peerv1.FetchTableRequest]) (*connect.Response[peerv1.FetchTableResponse], error)
 	// AcquireSlices asks the owner of some limits for shares of them.
 	AcquireSlices(context.Context, *connect.Request[peerv1.AcquireSlicesRequest]) (*connect.Response[peerv1.AcquireSlicesResponse], error)
-	// Facts returns what the daemon knows from the platform's store, as far as
-	// the caller lacks it.
+	// Facts returns the facts that the daemon has from the platform's store and
+	// the requesting daemon lacks.
 	Facts(context.Context, *connect.Request[peerv1.FactsRequest]) (*connect.Response[peerv1.FactsResponse], error)
-	// Status returns the figures that operators see, as JSON.
+	// Status returns the status that operators see, as JSON.
 	Status(context.Context, *connect.Request[peerv1.StatusRequest]) (*connect.Response[peerv1.StatusResponse], error)
 }
 
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -10,19 +10,19 @@
 	"connectrpc.com/connect"
 )
 
-// Pool holds a client for each peer address, with connections of its own. It
-// is safe for concurrent use.
+// Pool holds one client per peer address, each with its own connections. It is
+// safe for concurrent use.
 type Pool struct {
 	tls     *tls.Config
 	wrap    func(*http.Transport)
 	options []connect.ClientOption
 
 	mu      sync.Mutex
-	members map[string]*member
+	clients map[string]*pooledClient
 }
 
-// member is what the pool holds for one address.
-type member struct {
+// pooledClient is the client of one address with its connections.
+type pooledClient struct {
 	client    *Client
 	transport *http.Transport
 
@@ -31,105 +31,108 @@
 	closed bool
 }
 
-// NewPool returns an empty pool. Without tlsConfig it speaks plain HTTP/2.
+// NewPool returns an empty pool. If tlsConfig is nil, it uses unencrypted HTTP/2.
 // The function wrap may change each transport before it is used.
 func NewPool(tlsConfig *tls.Config, wrap func(*http.Transport), options ...connect.ClientOption) *Pool {
-	return &Pool{tls: tlsConfig, wrap: wrap, options: options, members: map[string]*member{}}
+	return &Pool{tls: tlsConfig, wrap: wrap, options: options, clients: map[string]*pooledClient{}}
 }
 
-// Client returns the client of an address.
+// Client returns the client of an address, and creates it on the first use.
 func (p *Pool) Client(address string) *Client {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m := p.members[address]
-	if m == nil {
-		m = p.newMember(address)
-		p.members[address] = m
+	pc := p.clients[address]
+	if pc == nil {
+		pc = p.newPooledClient(address)
+		p.clients[address] = pc
 	}
-	return m.client
+	return pc.client
 }
 
-func (p *Pool) newMember(address string) *member {
-	m := &member{transport: NewTransport(p.tls.Clone()), conns: map[net.Conn]bool{}}
-	p.wrap(m.transport)
-	dial := m.transport.DialContext
-	m.transport.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
+func (p *Pool) newPooledClient(address string) *pooledClient {
+	pc := &pooledClient{transport: NewTransport(p.tls.Clone()), conns: map[net.Conn]bool{}}
+	p.wrap(pc.transport)
+	dial := pc.transport.DialContext
+	pc.transport.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := dial(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		return m.track(c)
+		return pc.track(c)
 	}
 	scheme := "http"
 	if p.tls != nil {
 		scheme = "https"
 	}
-	m.client = NewClient(m.transport, scheme, address, p.options...)
-	return m
+	pc.client = NewClient(pc.transport, scheme, address, p.options...)
+	return pc
 }
 
-// Fresh returns a client with connections of its own, and what closes them.
+// Fresh returns a client that is not in the pool, with its own connections, and a
+// function that closes them.
 func (p *Pool) Fresh(address string) (c *Client, closeConnections func()) {
-	m := p.newMember(address)
-	return m.client, m.close
+	pc := p.newPooledClient(address)
+	return pc.client, pc.close
 }
 
-// Replace closes the connections to an address, whatever runs on them, and
-// forgets the address. The next client opens new connections.
+// Replace closes the connections to an address, even while they are in use, and
+// removes its client from the pool. The next client opens new connections.
 func (p *Pool) Replace(address string) {
 	p.mu.Lock()
-	m := p.members[address]
-	delete(p.members, address)
+	pc := p.clients[address]
+	delete(p.clients, address)
 	p.mu.Unlock()
-	if m != nil {
-		m.close()
+	if pc != nil {
+		pc.close()
 	}
 }
 
 // Close closes all connections.
 func (p *Pool) Close() {
 	p.mu.Lock()
-	members := p.members
-	p.members = map[string]*member{}
+	clients := p.clients
+	p.clients = map[string]*pooledClient{}
 	p.mu.Unlock()
-	for _, m := range members {
-		m.close()
+	for _, pc := range clients {
+		pc.close()
 	}
 }
 
-func (m *member) track(c net.Conn) (net.Conn, error) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.closed {
+// track records a connection, so that close can close it. It fails if the client is
+// closed already.
+func (pc *pooledClient) track(c net.Conn) (net.Conn, error) {
+	pc.mu.Lock()
+	defer pc.mu.Unlock()
+	if pc.closed {
 		_ = c.Close()
 		return nil, net.ErrClosed
 	}
-	m.conns[c] = true
-	return &tracked{Conn: c, member: m}, nil
+	pc.conns[c] = true
+	return &trackedConn{Conn: c, owner: pc}, nil
 }
 
-func (m *member) close() {
-	m.mu.Lock()
-	conns := m.conns
-	m.conns = nil
-	m.closed = true
-	m.mu.Unlock()
+func (pc *pooledClient) close() {
+	pc.mu.Lock()
+	conns := pc.conns
+	pc.conns = nil
+	pc.closed = true
+	pc.mu.Unlock()
 	for c := range conns {
 		_ = c.Close()
 	}
-	m.transport.CloseIdleConnections()
+	pc.transport.CloseIdleConnections()
 }
 
-// tracked is a connection that its member can close.
-type tracked struct {
+// trackedConn is a connection that its client can close.
+type trackedConn struct {
 	net.Conn
-	member *member
+	owner *pooledClient
 }
 
-// Close closes the connection and forgets it.
-func (t *tracked) Close() error {
-	t.member.mu.Lock()
-	delete(t.member.conns, t.Conn)
-	t.member.mu.Unlock()
+// Close closes the connection and removes it from its client.
+func (t *trackedConn) Close() error {
+	t.owner.mu.Lock()
+	delete(t.owner.conns, t.Conn)
+	t.owner.mu.Unlock()
 	return t.Conn.Close()
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -17,11 +17,13 @@
 	Close  func()
 }
 
-// Server answers other daemons. A call whose function is nil is refused.
+// Server handles the calls of other daemons. PushTable, FetchTable, AcquireSlices,
+// Facts and Status are refused if their function is nil.
 type Server struct {
-	// Welcome returns the name of this daemon.
+	// Welcome returns the host and the incarnation of this daemon.
 	Welcome func() *peerv1.Welcome
-	// Attach opens a session; its argument send does not block.
+	// Attach opens a session for a stream. Its argument send, which sends a
+	// batch to the other daemon, does not block.
 	Attach       func(hello *peerv1.Hello, send func(*peerv1.ReservationsResponse)) Session
 	OnHeartbeat  func(*peerv1.HeartbeatRequest) *peerv1.HeartbeatResponse
 	OnPushTable  func(context.Context, *peerv1.PushTableRequest) *peerv1.PushTableResponse
@@ -33,18 +35,19 @@
 	streams streams
 }
 
-// errNotOffered refuses a call that the daemon has no use for.
-var errNotOffered = connect.NewError(connect.CodeUnimplemented, errors.New("not offered by this daemon"))
+// errUnimplemented refuses a call that this daemon does not implement.
+var errUnimplemented = connect.NewError(connect.CodeUnimplemented, errors.New("not offered by this daemon"))
 
 // Handler returns the HTTP handler of the protocol.
 func (s *Server) Handler(options ...connect.HandlerOption) http.Handler {
-	options = append(options, connect.WithCompressMinBytes(compressFrom))
+	options = append(options, connect.WithCompressMinBytes(compressMinBytes))
 	mux := http.NewServeMux()
 	mux.Handle(peerv1connect.NewPeerServiceHandler(s, options...))
 	return mux
 }
 
-// Reservations serves one stream until the other daemon ends it.
+// Reservations serves one stream until the other daemon closes it, its connection
+// is lost or DropStreams ends it.
 func (s *Server) Reservations(ctx context.Context, stream *connect.BidiStream[peerv1.ReservationsRequest, peerv1.ReservationsResponse]) error {
 	first, err := stream.Receive()
 	if err != nil {
@@ -76,8 +79,8 @@
 		defer close(received)
 		receiveAll(ctx, stream, session)
 	}()
-	// A handler's return makes a receive under way fail, but not before; so
-	// the end of the context must end this function by itself.
+	// A receive in progress fails only when the handler returns, so the handler
+	// must also return when the context is done.
 	select {
 	case <-received:
 	case <-ctx.Done():
@@ -85,7 +88,8 @@
 	return nil
 }
 
-// receiveAll handles batches until the stream ends, for whatever reason.
+// receiveAll handles batches until the stream has ended or failed, or its context
+// is done.
 func receiveAll(ctx context.Context, stream *connect.BidiStream[peerv1.ReservationsRequest, peerv1.ReservationsResponse], session Session) {
 	for {
 		req, err := stream.Receive()
@@ -96,22 +100,22 @@
 	}
 }
 
-// DropStreams ends the streams of an incarnation that counts as gone. If it
-// is there after all, it opens new ones and reports again what it holds, which
-// the coordinator has forgotten.
+// DropStreams ends the streams of an incarnation that counts as gone. If it is
+// still running, it opens new streams and reports its grants and waiting
+// reservations again, which the coordinator has dropped.
 func (s *Server) DropStreams(host string, incarnation uint64) {
 	s.streams.drop(streamKey{host, incarnation})
 }
 
-// Heartbeat exchanges views.
+// Heartbeat exchanges the daemons' views of the hosts.
 func (s *Server) Heartbeat(_ context.Context, req *connect.Request[peerv1.HeartbeatRequest]) (*connect.Response[peerv1.HeartbeatResponse], error) {
 	return connect.NewResponse(s.OnHeartbeat(req.Msg)), nil
 }
 
-// PushTable takes in a table.
+// PushTable handles the announcement of a version of the table.
 func (s *Server) PushTable(ctx context.Context, req *connect.Request[peerv1.PushTableRequest]) (*connect.Response[peerv1.PushTableResponse], error) {
 	if s.OnPushTable == nil {
-		return nil, errNotOffered
+		return nil, errUnimplemented
 	}
 	return connect.NewResponse(s.OnPushTable(ctx, req.Msg)), nil
 }
@@ -119,31 +123,31 @@
 // FetchTable returns the table in force.
 func (s *Server) FetchTable(_ context.Context, req *connect.Request[peerv1.FetchTableRequest]) (*connect.Response[peerv1.FetchTableResponse], error) {
 	if s.OnFetchTable == nil {
-		return nil, errNotOffered
+		return nil, errUnimplemented
 	}
 	return connect.NewResponse(s.OnFetchTable(req.Msg)), nil
 }
 
-// AcquireSlices hands out shares of limits.
+// AcquireSlices grants slices of limits that this daemon owns.
 func (s *Server) AcquireSlices(_ context.Context, req *connect.Request[peerv1.AcquireSlicesRequest]) (*connect.Response[peerv1.AcquireSlicesResponse], error) {
 	if s.OnAcquire == nil {
-		return nil, errNotOffered
+		return nil, errUnimplemented
 	}
 	return connect.NewResponse(s.OnAcquire(req.Msg)), nil
 }
 
-// Facts returns what the daemon knows from the platform's store.
+// Facts returns the facts that the daemon has from the platform's store.
 func (s *Server) Facts(_ context.Context, req *connect.Request[peerv1.FactsRequest]) (*connect.Response[peerv1.FactsResponse], error) {
 	if s.OnFacts == nil {
-		return nil, errNotOffered
+		return nil, errUnimplemented
 	}
 	return connect.NewResponse(s.OnFacts(req.Msg)), nil
 }
 
-// Status returns the daemon's figures.
+// Status returns the daemon's status.
 func (s *Server) Status(ctx context.Context, _ *connect.Request[peerv1.StatusRequest]) (*connect.Response[peerv1.StatusResponse], error) {
 	if s.OnStatus == nil {
-		return nil, errNotOffered
+		return nil, errUnimplemented
 	}
 	return connect.NewResponse(s.OnStatus(ctx)), nil
 }
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -1,5 +1,5 @@
-// Package peer carries the protocol between daemons over connect-go. The
-// messages are generated from proto/beechhead/peer/v1.
+// Package peer implements the transport of the protocol between daemons with
+// connect-go. The messages are generated from proto/beechhead/peer/v1.
 package peer
 
 import (
@@ -9,24 +9,25 @@
 	"time"
 )
 
-// Timings of the connections between daemons.
+// Timeouts of the connections between daemons.
 const (
 	dialTimeout = time.Second
-	// pingAfter and pingTimeout find connections that have gone silent: a
-	// path that has lost track of a connection passes no ping answer, while
+	// After pingIdleTime without a frame, a ping is sent, and after pingTimeout
+	// without a response the connection is closed. This detects connections that
+	// deliver nothing because a router or firewall has lost their state, while
 	// new connections work. Heartbeats keep a connection busier than that.
-	pingAfter   = 2 * time.Second
-	pingTimeout = time.Second
-	// serverPingAfter is longer, so that the dialling side does the pinging
-	// and only the death of its host leaves it to the server.
-	serverPingAfter = 3 * time.Second
-	// idleTimeout closes connections to daemons that this one no longer
-	// exchanges heartbeats with, which would cost pings.
+	pingIdleTime = 2 * time.Second
+	pingTimeout  = time.Second
+	// serverPingIdleTime is longer, so that normally the client sends the pings,
+	// and the server does so only if the client's host has failed.
+	serverPingIdleTime = 3 * time.Second
+	// idleTimeout closes connections to daemons with which this one no longer
+	// exchanges heartbeats, since keeping them would cost pings.
 	idleTimeout = 10 * time.Second
 )
 
-// NewTransport returns a transport for HTTP/2 to other daemons, without TLS
-// if tlsConfig is nil.
+// NewTransport returns an HTTP/2 transport to other daemons. It uses no TLS if
+// tlsConfig is nil.
 func NewTransport(tlsConfig *tls.Config) *http.Transport {
 	var protocols http.Protocols
 	if tlsConfig == nil {
@@ -39,12 +40,12 @@
 		TLSClientConfig: tlsConfig,
 		Protocols:       &protocols,
 		IdleConnTimeout: idleTimeout,
-		HTTP2:           &http.HTTP2Config{SendPingTimeout: pingAfter, PingTimeout: pingTimeout},
+		HTTP2:           &http.HTTP2Config{SendPingTimeout: pingIdleTime, PingTimeout: pingTimeout},
 	}
 }
 
-// NewHTTPServer returns a server for HTTP/2 with the same care for silent
-// connections.
+// NewHTTPServer returns an HTTP/2 server that detects connections that deliver
+// nothing in the same way. It uses no TLS if tlsConfig is nil.
 func NewHTTPServer(handler http.Handler, tlsConfig *tls.Config) *http.Server {
 	var protocols http.Protocols
 	protocols.SetHTTP2(tlsConfig != nil)
@@ -54,6 +55,6 @@
 		TLSConfig:         tlsConfig,
 		Protocols:         &protocols,
 		ReadHeaderTimeout: pingTimeout,
-		HTTP2:             &http.HTTP2Config{SendPingTimeout: serverPingAfter, PingTimeout: pingTimeout},
+		HTTP2:             &http.HTTP2Config{SendPingTimeout: serverPingIdleTime, PingTimeout: pingTimeout},
 	}
 }
