--- a/internal/daemon/claims.go
+++ b/internal/daemon/claims.go
@@ -10,12 +10,13 @@
 	"github.com/beechhead/beechhead/internal/platform"
 )
 
-// claimsLinger bounds how long a leaving daemon waits until the ends of its
-// claims are stored. Longer would keep a host that is being replaced through
-// an outage of any length; repeats of what is lost are told so.
-const claimsLinger = 30 * time.Second
+// claimsDrainTimeout is the maximum time that a leaving daemon waits until the
+// outcomes of its claims are stored. A longer wait would delay the replacement
+// of a host for as long as an outage of the store lasts. If an outcome is lost,
+// repeats of its request get a response that says so.
+const claimsDrainTimeout = 30 * time.Second
 
-// sweepLease is held by the daemon that sweeps claims.
+// sweepLease is the lease of the daemon that deletes old claims.
 const sweepLease = "claimSweep"
 
 func (d *Daemon) newClaims() *claim.Store {
@@ -29,11 +30,11 @@
 	return s
 }
 
-// sweepClaims deletes old claims while this daemon holds the lease for it.
+// sweepClaims deletes old claims while this daemon holds sweepLease.
 func (d *Daemon) sweepClaims(ctx context.Context) {
-	keeper := lease.NewRenewer(d.newLeases(), sweepLease)
+	renewer := lease.NewRenewer(d.newLeases(), sweepLease)
 	d.claims.Sweep(ctx, func(ctx context.Context) bool {
-		return keeper.EnsureHeld(ctx, 0)
+		return renewer.EnsureHeld(ctx, 0)
 	})
 }
 
@@ -41,9 +42,9 @@
 	return lease.NewHolder(d.clock, d.platform.For(platform.UseLeases), d.metrics)
 }
 
-// awaitClaims waits until the ends of this daemon's claims are stored.
+// awaitClaims waits until the outcomes of this daemon's claims are stored.
 func (d *Daemon) awaitClaims(ctx context.Context) {
-	until := d.clock.Now().Add(claimsLinger)
+	until := d.clock.Now().Add(claimsDrainTimeout)
 	for d.claims.PendingCount() > 0 && d.clock.Now().Before(until) {
 		select {
 		case <-ctx.Done():
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon puts the parts of the entry daemon together and runs them.
+// Package daemon assembles and runs the components of the entry daemon.
 package daemon
 
 import (
@@ -49,34 +49,34 @@
 	attainment *attainment.Recorder
 	meter      *control.Meter
 
-	view        *membership.View
-	keeper      *tablesync.Keeper
-	store       *tablesync.Store
-	platform    *platform.Client
-	claims      *claim.Store
-	coordinator *cell.Coordinator
-	placer      *placement.Placer
-	front       *caller.Server
-	suspects    *quarantine.List
-	peers       *peer.Pool
-	beats       *heartbeat.Exchanger
-	spreader    *tablesync.Spreader
-	hostList    hostList
-	cells       *cellhost.Host
-	owner       *limit.Owner
-	limits      *limit.Limiter
+	view          *membership.View
+	keeper        *tablesync.Keeper
+	store         *tablesync.Store
+	platform      *platform.Client
+	claims        *claim.Store
+	coordinator   *cell.Coordinator
+	placer        *placement.Placer
+	callerHandler *caller.Server
+	suspects      *quarantine.List
+	peers         *peer.Pool
+	heartbeats    *heartbeat.Exchanger
+	spreader      *tablesync.Spreader
+	hostList      hostList
+	cells         *cellhost.Host
+	limitOwner    *limit.Owner
+	limits        *limit.Limiter
 
-	callers   *http.Server
-	operators *http.Server
-	inner     *http.Server
-	// answers is what inner serves.
-	answers *peer.Server
-	// draining is closed when the graceful stop begins.
+	callerHTTP   *http.Server
+	operatorHTTP *http.Server
+	peerHTTP     *http.Server
+	// peerHandler handles the requests that peerHTTP serves.
+	peerHandler *peer.Server
+	// draining is closed when the graceful shutdown begins.
 	draining chan struct{}
 	drain    func()
 }
 
-// New returns a daemon that is not running yet.
+// New returns a daemon that is not yet running.
 func New(s *settings.Settings, secrets *settings.Secrets, logger *slog.Logger) *Daemon {
 	d := &Daemon{
 		settings: s,
@@ -86,7 +86,7 @@
 		metrics:  metric.NewRegistry(),
 	}
 	d.attainment = attainment.NewRecorder(d.clock)
-	d.draining, d.drain = closer()
+	d.draining, d.drain = newCloseOnce()
 	size := s.CellSize
 	if size == 0 {
 		size = cell.DefaultSize
@@ -109,7 +109,7 @@
 	d.view.OnGone = d.hostGone
 	d.view.Count = d.metrics.Inc
 	d.keeper.InMinority = d.view.InMinority
-	d.keeper.FromPeers = d.fetchFromPartner
+	d.keeper.FromPeers = d.fetchFromPartners
 	d.suspects = quarantine.NewList(d.clock)
 	d.suspects.OnChange = quarantine.ReportChanges(d.logger, d.metrics.Inc)
 	d.buildPeers()
@@ -121,19 +121,19 @@
 		Coordinator: d.coordinator,
 		Metrics:     d.metrics,
 		Interval:    tickInterval,
-		RefreshView: d.beats.Refresh,
+		RefreshView: d.heartbeats.Refresh,
 	}
 	d.placer = placement.NewPlacer(d.clock, d.view, d.cells.Dial, d.metrics, size, s.Policy)
 	d.placer.OnShareChange = d.coordinator.SetShare
-	d.owner = limit.NewOwner(d.clock, d.view.Self().ID)
-	d.limits = limit.NewLimiter(d.clock, d.view, d.askOwner, d.metrics)
+	d.limitOwner = limit.NewOwner(d.clock, d.view.Self().ID)
+	d.limits = limit.NewLimiter(d.clock, d.view, d.acquireSlices, d.metrics)
 	d.claims = d.newClaims()
-	d.keeper.Watch(d.adopted)
+	d.keeper.Watch(d.applyTable)
 	d.buildServers()
 	return d
 }
 
-// metered counts the bytes of a transport's connections in a flow.
+// metered counts the bytes on the connections of a transport as part of a flow.
 func metered(m *control.Meter, f control.Flow, t *http.Transport) *http.Transport {
 	t.DialContext = m.Dial(f, t.DialContext)
 	return t
@@ -141,7 +141,7 @@
 
 func (d *Daemon) buildServers() {
 	sender := endpoint.NewSender(endpoint.NewTransport())
-	d.front = &caller.Server{
+	d.callerHandler = &caller.Server{
 		Logger:     d.logger,
 		Keeper:     d.keeper,
 		View:       d.view,
@@ -154,7 +154,7 @@
 		StallTimeout: caller.DefaultStallTimeout,
 		MaxRequests:  caller.DefaultMaxRequests,
 	}
-	back := &operator.Server{
+	operatorHandler := &operator.Server{
 		Logger:  d.logger,
 		Keeper:  d.keeper,
 		Editor:  tablesync.NewEditor(d.keeper, d.store, d.pushTable, d.clock.Now),
@@ -165,21 +165,21 @@
 		Drain:   d.drain,
 		Claims:  d.claims,
 	}
-	d.callers = caller.NewHTTPServer(d.front.Handler(), d.secrets.CallerTLS.Clone())
-	d.operators = caller.NewHTTPServer(back.Handler(), d.secrets.OperatorTLS.Clone())
-	d.answers = d.peerServer()
-	d.inner = peer.NewHTTPServer(d.answers.Handler(connect.WithInterceptors(d.meter.Interceptor())), d.secrets.PeerTLS.Clone())
-	for _, s := range []*http.Server{d.callers, d.operators, d.inner} {
+	d.callerHTTP = caller.NewHTTPServer(d.callerHandler.Handler(), d.secrets.CallerTLS.Clone())
+	d.operatorHTTP = caller.NewHTTPServer(operatorHandler.Handler(), d.secrets.OperatorTLS.Clone())
+	d.peerHandler = d.peerServer()
+	d.peerHTTP = peer.NewHTTPServer(d.peerHandler.Handler(connect.WithInterceptors(d.meter.Interceptor())), d.secrets.PeerTLS.Clone())
+	for _, s := range []*http.Server{d.callerHTTP, d.operatorHTTP, d.peerHTTP} {
 		s.ErrorLog = slog.NewLogLogger(d.logger.Handler(), slog.LevelWarn)
 	}
 }
 
-// adopted puts a new table in force in every part.
-func (d *Daemon) adopted(v *table.Versioned) {
+// applyTable configures all components with a table that has become active.
+func (d *Daemon) applyTable(v *table.Versioned) {
 	d.coordinator.Configure(v.Table)
-	d.drainEndpoints(v.Table)
+	d.updateDraining(v.Table)
 	d.placer.Configure(v.Table)
-	d.owner.Configure(v.Table)
+	d.limitOwner.Configure(v.Table)
 	d.view.UpdateSelf(func(h *membership.Host) {
 		h.TableVersion = uint64(v.Version)
 		if h.State == membership.Starting {
@@ -189,17 +189,17 @@
 	d.logger.Info("table in force", "version", v.Version)
 }
 
-// hostGone forgets what an incarnation that is gone held.
+// hostGone discards the state of a host incarnation that is gone.
 func (d *Daemon) hostGone(h membership.Host) {
 	d.logger.Warn("host gone", "gone", h.ID)
 	d.metrics.Inc("hosts.gone")
 	d.peers.Replace(h.PeerAddress)
-	d.answers.DropStreams(string(h.ID), h.Incarnation)
+	d.peerHandler.DropStreams(string(h.ID), h.Incarnation)
 	d.coordinator.DropHost(string(h.ID), h.Incarnation)
 }
 
-// Run serves until ctx ends or a drain is complete. It is a graceful stop
-// when Drain was called, an abrupt one when ctx ends.
+// Run serves until ctx is done, which stops the daemon abruptly, or until a
+// graceful shutdown that Drain started is complete.
 func (d *Daemon) Run(ctx context.Context) (err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -208,21 +208,21 @@
 		server  *http.Server
 		address string
 	}{
-		{d.callers, d.settings.CallerAddress},
-		{d.operators, d.settings.OperatorAddress},
-		{d.inner, d.settings.PeerAddress},
+		{d.callerHTTP, d.settings.CallerAddress},
+		{d.operatorHTTP, d.settings.OperatorAddress},
+		{d.peerHTTP, d.settings.PeerAddress},
 	} {
 		l, err := net.Listen("tcp", s.address)
 		if err != nil {
 			return errors.Wrapf(err, "listen on %s", s.address)
 		}
-		if s.server == d.inner {
+		if s.server == d.peerHTTP {
 			l = d.meter.Listener(control.PeerWire, l)
 		}
 		g.Go(func() error { return serve(ctx, s.server, l) })
 	}
 	g.Go(func() error { d.keeper.Poll(ctx, d.store); return nil })
-	g.Go(func() error { d.beats.Run(ctx); return nil })
+	g.Go(func() error { d.heartbeats.Run(ctx); return nil })
 	g.Go(func() error { d.watchHostList(ctx); return nil })
 	g.Go(func() error { d.tick(ctx); return nil })
 	g.Go(func() error { d.limits.Run(ctx); return nil })
@@ -258,10 +258,10 @@
 	return s.ServeTLS(l, "", "")
 }
 
-// Drain starts the graceful stop.
+// Drain starts the graceful shutdown.
 func (d *Daemon) Drain() { d.drain() }
 
-// leave waits for a drain and then for the end of the running requests.
+// leave waits for a drain and then for the running requests to complete.
 func (d *Daemon) leave(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
@@ -270,7 +270,7 @@
 	}
 	d.logger.Info("leaving")
 	d.view.UpdateSelf(func(h *membership.Host) { h.State = membership.Leaving })
-	for d.view.Accepting() || d.front.InProgress() > 0 {
+	for d.view.Accepting() || d.callerHandler.InProgress() > 0 {
 		select {
 		case <-ctx.Done():
 			return nil
@@ -281,23 +281,24 @@
 	return d.depart(ctx)
 }
 
-// departLinger is how long news of the departure may take to reach all.
-const departLinger = 500 * time.Millisecond
+// departureNoticePeriod is the time allowed for the notice of departure to
+// reach all hosts.
+const departureNoticePeriod = 500 * time.Millisecond
 
-// depart ends a drain. The last answers may still be on their way to their
-// callers, which the server's shutdown waits for. Telling the peers lets the
-// coordinators forget this daemon at once.
+// depart completes a drain. The last responses may still be on their way to
+// their callers; the shutdown of the server waits for them. The peers are
+// notified, so that the coordinators discard the state of this daemon at once.
 func (d *Daemon) depart(ctx context.Context) error {
-	if err := d.callers.Shutdown(ctx); err != nil {
+	if err := d.callerHTTP.Shutdown(ctx); err != nil {
 		return errors.Wrap(err, "shut down")
 	}
 	d.view.Depart()
-	d.beats.Refresh(ctx)
-	// Those whose partner this daemon is must hear of it before they find it
-	// not to answer.
+	d.heartbeats.Refresh(ctx)
+	// Hosts that have this daemon as a partner must receive the notice before
+	// they find that it does not respond.
 	select {
 	case <-ctx.Done():
-	case <-d.clock.After(departLinger):
+	case <-d.clock.After(departureNoticePeriod):
 	}
 	d.logger.Info("left")
 	return nil
@@ -312,7 +313,7 @@
 	return &peer.Server{
 		Welcome:      d.welcome,
 		Attach:       d.cells.Attach,
-		OnHeartbeat:  d.beats.Answer,
+		OnHeartbeat:  d.heartbeats.Answer,
 		OnPushTable:  d.onPushTable,
 		OnFetchTable: d.onFetchTable,
 		OnAcquire:    d.onAcquireSlices,
--- a/internal/daemon/hostlist.go
+++ b/internal/daemon/hostlist.go
@@ -14,29 +14,31 @@
 )
 
 const (
-	// hostListInterval is the mean time between reads of the platform's list
-	// of hosts. It grows with the list by hostListPerHost, so that the bytes
-	// read a second stay the same: 11 s and 33 reads a second for 360 hosts.
+	// hostListInterval is the mean interval between reads of the platform's
+	// list of hosts. It grows by hostListPerHost with each listed host, so that
+	// the total bytes read per second stay constant: with 360 hosts, the
+	// interval is 11 s and there are 33 reads per second.
 	hostListInterval = 4 * time.Second
 	hostListPerHost  = 30 * time.Millisecond
-	// hostListRetry is the mean time between reads until one has succeeded.
+	// hostListRetry is the mean interval between reads until the first one
+	// succeeds.
 	hostListRetry = time.Second
-	// listLag is how long the list may go on showing what was true of an
-	// earlier incarnation of a host.
+	// listLag is the maximum time for which the list may still show the state
+	// of an earlier incarnation of a host.
 	listLag = 30 * time.Second
 )
 
-// hostList is the platform's list of hosts as last read. An outage of the
-// platform leaves it as it was. It is safe for concurrent use.
+// hostList is the platform's list of hosts as last read. It stays unchanged
+// during an outage of the platform. It is safe for concurrent use.
 type hostList struct {
 	mu    sync.Mutex
 	hosts map[string]platform.Host
-	// draining is what changedDraining returned last.
+	// draining is the previous result of changedDraining.
 	draining []table.EndpointName
 }
 
-// update takes in a list and returns the hosts that it shows as leaving and
-// the previous one showed as live.
+// update replaces the list and returns the hosts that have changed from live to
+// leaving.
 func (l *hostList) update(hosts []platform.Host) (leaving []platform.Host) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -77,16 +79,16 @@
 	return n
 }
 
-// isLeaving tells whether the host is listed as leaving.
+// isLeaving reports whether the host is listed as leaving.
 func (l *hostList) isLeaving(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.hosts[id].State == platform.HostLeaving
 }
 
-// drainingEndpoints returns the endpoints of a table on hosts that are listed
-// as leaving. They get no new grants. Where a daemon runs, its own drain is
-// what counts.
+// drainingEndpoints returns the endpoints of a table whose hosts are listed as
+// leaving. They get no new grants. Hosts that run a daemon are excluded,
+// because there the daemon's own drain is decisive.
 func (l *hostList) drainingEndpoints(t *table.Table) []table.EndpointName {
 	ips := l.leavingIPs()
 	var names []table.EndpointName
@@ -99,8 +101,8 @@
 	return names
 }
 
-// changedDraining returns drainingEndpoints and whether they differ from the
-// last time.
+// changedDraining returns drainingEndpoints and whether the result differs from
+// the previous call.
 func (l *hostList) changedDraining(t *table.Table) (names []table.EndpointName, changed bool) {
 	names = l.drainingEndpoints(t)
 	l.mu.Lock()
@@ -122,8 +124,8 @@
 	return ips
 }
 
-// watchHostList reads the platform's list until ctx ends. The jitter keeps
-// daemons that start together from reading together.
+// watchHostList reads the platform's list until ctx is done. The jitter
+// prevents daemons that start at the same time from reading at the same time.
 func (d *Daemon) watchHostList(ctx context.Context) {
 	started := d.clock.Now()
 	interval := hostListRetry
@@ -133,7 +135,7 @@
 			d.metrics.Inc("hosts.listFailed")
 		} else {
 			interval = max(hostListInterval, time.Duration(len(hosts))*hostListPerHost)
-			d.takeHostList(hosts, started)
+			d.applyHostList(hosts, started)
 		}
 		jitter := time.Duration((0.5 + rand.Float64()) * float64(interval))
 		select {
@@ -144,11 +146,11 @@
 	}
 }
 
-// takeHostList acts on a list. A host that is listed as leaving drains itself.
-// Since the list lags, it may still show the end of an earlier incarnation; so
-// only the change from live to leaving counts, or a list that has shown
-// nothing else for longer than it lags.
-func (d *Daemon) takeHostList(hosts []platform.Host, started time.Time) {
+// applyHostList acts on a newly read list. A daemon whose host is listed as
+// leaving drains itself. Because the list lags, it may still show the departure
+// of an earlier incarnation. Therefore only the change from live to leaving
+// counts, or a list that has shown nothing else for longer than listLag.
+func (d *Daemon) applyHostList(hosts []platform.Host, started time.Time) {
 	for _, h := range d.hostList.update(hosts) {
 		if h.ID == d.settings.Host {
 			d.logger.Info("the platform lists this host as leaving")
@@ -158,15 +160,15 @@
 		d.view.MarkListedLeaving(membership.HostID(h.ID))
 	}
 	if v := d.keeper.Current(); v != nil {
-		d.drainEndpoints(v.Table)
+		d.updateDraining(v.Table)
 	}
 	if d.hostList.isLeaving(d.settings.Host) && d.clock.Since(started) > listLag {
 		d.Drain()
 	}
 }
 
-// drainEndpoints keeps new grants from the endpoints on hosts that are leaving.
-func (d *Daemon) drainEndpoints(t *table.Table) {
+// updateDraining excludes the endpoints on leaving hosts from new grants.
+func (d *Daemon) updateDraining(t *table.Table) {
 	if names, changed := d.hostList.changedDraining(t); changed {
 		d.coordinator.SetDraining(names)
 	}
--- a/internal/daemon/hostlist_test.go
+++ b/internal/daemon/hostlist_test.go
@@ -12,10 +12,11 @@
 	return platform.Host{ID: id, IP: "10.0.0." + id, State: state}
 }
 
-// The platform's list lags. A host that has just started again is still shown
-// as leaving, because its earlier incarnation was. Only the change from live
-// to leaving makes it drain, or the host would leave as soon as it came.
-func TestOnlyTheChangeToLeavingCounts(t *testing.T) {
+// The platform's list lags, so a host that has just restarted is still shown as
+// leaving because its earlier incarnation was. Only the change from live to
+// leaving may start a drain; otherwise the host would leave as soon as it has
+// started.
+func TestOnlyChangeToLeavingStartsDrain(t *testing.T) {
 	var l hostList
 	for _, c := range []struct {
 		state   platform.HostState
@@ -29,9 +30,9 @@
 	}
 }
 
-// An endpoint's host is about to be taken away. The endpoint gets no new
-// requests although it answers well, so that none is cut off.
-func TestEndpointsOnLeavingHosts(t *testing.T) {
+// The host of an endpoint is about to be removed. Although the endpoint still
+// responds, it must get no new requests, so that none is cut off.
+func TestEndpointsOnLeavingHostsDrain(t *testing.T) {
 	var l hostList
 	l.update([]platform.Host{listed("1", platform.HostLeaving), listed("2", platform.HostLive)})
 	got := l.drainingEndpoints(&table.Table{Endpoints: []table.Endpoint{
--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -8,10 +8,11 @@
 	"github.com/beechhead/beechhead/internal/peer/peerv1"
 )
 
-// askOwner asks the owner of some limits for slices; it may be this daemon.
-func (d *Daemon) askOwner(ctx context.Context, owner membership.Host, holder limit.Holder, wants []limit.SliceRequest) ([]int, bool) {
+// acquireSlices requests slices from the owner of some limits, which may be
+// this daemon.
+func (d *Daemon) acquireSlices(ctx context.Context, owner membership.Host, holder limit.Holder, wants []limit.SliceRequest) ([]int, bool) {
 	if owner.ID == d.view.Self().ID {
-		return d.owner.Grant(holder, wants)
+		return d.limitOwner.Grant(holder, wants)
 	}
 	resp, err := d.peers.Client(owner.PeerAddress).AcquireSlices(ctx, slicesRequest(holder, wants))
 	if err != nil || resp.GetNotOwner() {
@@ -41,7 +42,7 @@
 	return req
 }
 
-// onAcquireSlices answers another daemon that asks for slices.
+// onAcquireSlices handles a request for slices from another daemon.
 func (d *Daemon) onAcquireSlices(req *peerv1.AcquireSlicesRequest) *peerv1.AcquireSlicesResponse {
 	holder := limit.Holder{
 		Host:        membership.HostID(req.GetHost()),
@@ -61,7 +62,7 @@
 			Holding: int(w.GetHolding()),
 		})
 	}
-	granted, ok := d.owner.Grant(holder, wants)
+	granted, ok := d.limitOwner.Grant(holder, wants)
 	resp := &peerv1.AcquireSlicesResponse{NotOwner: !ok}
 	for _, n := range granted {
 		resp.Granted = append(resp.Granted, uint32(n))
--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -7,9 +7,10 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// newOrders returns what gives orders to engines. A group's lease is for the
-// ready host with the highest rendezvous score, so that the groups spread and
-// only one or two daemons ask the store for a lease.
+// newOrders returns the reconciler that gives orders to engines. Only the ready
+// host with the highest rendezvous score for a group competes for its lease.
+// This distributes the groups over the hosts, and only one or two daemons
+// request a lease from the store.
 func (d *Daemon) newOrders() *order.Reconciler {
 	engines := engine.NewClient(endpoint.NewSender(endpoint.NewTransport()))
 	return &order.Reconciler{
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -20,42 +20,45 @@
 )
 
 const (
-	// pushTimeout bounds how long an edit waits for hosts to confirm it;
-	// spreadTimeout is the part of it for the spreading along the rings.
-	pushTimeout   = 2 * time.Second
-	spreadTimeout = 1200 * time.Millisecond
-	// tellsAtOnce bounds the hosts told at the same time.
-	tellsAtOnce  = 16
-	fetchTimeout = 2 * time.Second
+	// pushTimeout is the maximum time that an edit waits for hosts to confirm
+	// it; propagationTimeout is the part of it for the propagation along the
+	// rings.
+	pushTimeout        = 2 * time.Second
+	propagationTimeout = 1200 * time.Millisecond
+	// maxConcurrentNotifications is the maximum number of hosts that are
+	// notified at the same time.
+	maxConcurrentNotifications = 16
+	fetchTimeout               = 2 * time.Second
 )
 
-// buildPeers prepares the calls to other daemons.
+// buildPeers sets up the clients for other daemons.
 func (d *Daemon) buildPeers() {
 	meter := func(t *http.Transport) { metered(d.meter, control.PeerWire, t) }
 	d.peers = peer.NewPool(d.secrets.PeerTLS, meter, connect.WithInterceptors(d.meter.Interceptor()))
-	d.beats = &heartbeat.Exchanger{
+	d.heartbeats = &heartbeat.Exchanger{
 		Clock: d.clock,
 		View:  d.view,
 		Call: func(ctx context.Context, address string, req *peerv1.HeartbeatRequest) (*peerv1.HeartbeatResponse, error) {
 			return d.peers.Client(address).Heartbeat(ctx, req)
 		},
 		Replace:  d.peers.Replace,
-		Heard:    d.heardPeer,
+		Heard:    d.handleHeartbeat,
 		StoreAge: d.keeper.StoreAge,
 		Seeds:    d.seeds,
-		Load:     func() uint32 { return uint32(d.front.InProgress()) },
+		Load:     func() uint32 { return uint32(d.callerHandler.InProgress()) },
 		Count:    d.metrics.Inc,
 		Suspects: d.suspects,
 	}
 }
 
-// seeds returns the peer addresses that the platform and the settings name.
+// seeds returns the peer addresses from the platform and the settings.
 func (d *Daemon) seeds() []string {
 	return slices.Concat(d.hostList.peerAddresses(), d.settings.Peers)
 }
 
-// heardPeer takes in what a daemon says that answered a heartbeat.
-func (d *Daemon) heardPeer(n membership.News, sent time.Time, storeAge time.Duration) {
+// handleHeartbeat processes the state that a daemon reported in its response to
+// a heartbeat.
+func (d *Daemon) handleHeartbeat(n membership.News, sent time.Time, storeAge time.Duration) {
 	if n.Host.TableVersion == 0 || n.Status != membership.Alive {
 		return
 	}
@@ -63,7 +66,8 @@
 		d.keeper.HeardPeer(sent, storeAge)
 		return
 	}
-	// The peer keeps this daemon fresh only once its table is in force here.
+	// A response from the peer counts against staleness only once its version
+	// is active here.
 	go d.fetchTable(n.Host.PeerAddress)
 }
 
@@ -77,8 +81,9 @@
 	d.spreader.Spread(ctx, d.keeper.Version())
 }
 
-// fetchFromPartner puts a version in force if a partner has it.
-func (d *Daemon) fetchFromPartner(ctx context.Context, v table.Version) bool {
+// fetchFromPartners activates a version if a partner has it, and reports
+// whether it did.
+func (d *Daemon) fetchFromPartners(ctx context.Context, v table.Version) bool {
 	for _, h := range d.view.Partners() {
 		if table.Version(h.TableVersion) < v {
 			continue
@@ -90,7 +95,7 @@
 	return false
 }
 
-// buildSpreader prepares the spreading of tables among the daemons.
+// buildSpreader sets up the propagation of tables among the daemons.
 func (d *Daemon) buildSpreader() {
 	self := d.view.Self()
 	d.spreader = &tablesync.Spreader{
@@ -120,18 +125,19 @@
 	}
 }
 
-// pushTable spreads a version and tells at which hosts it is in force.
+// pushTable propagates a version. It returns the hosts on which the version is
+// active and those that have not confirmed it.
 func (d *Daemon) pushTable(ctx context.Context, v table.Version) (inForce, pending []string) {
 	ctx, cancel := context.WithTimeout(ctx, pushTimeout)
 	defer cancel()
-	inForce = d.spread(ctx, v)
+	inForce = d.propagate(ctx, v)
 	var missing []membership.Host
 	for _, h := range d.view.Hosts().All() {
 		if !slices.Contains(inForce, string(h.ID)) {
 			missing = append(missing, h)
 		}
 	}
-	confirmed := d.tellDirectly(ctx, v, missing)
+	confirmed := d.notifyDirectly(ctx, v, missing)
 	inForce = append(inForce, confirmed...)
 	for _, h := range missing {
 		if !slices.Contains(confirmed, string(h.ID)) {
@@ -141,21 +147,21 @@
 	return inForce, pending
 }
 
-// spread passes a version on along the rings, leaving time for those that it
-// does not reach.
-func (d *Daemon) spread(ctx context.Context, v table.Version) []string {
-	ctx, cancel := context.WithTimeout(ctx, spreadTimeout)
+// propagate propagates a version along the rings and leaves time to notify the
+// hosts that this does not reach.
+func (d *Daemon) propagate(ctx context.Context, v table.Version) []string {
+	ctx, cancel := context.WithTimeout(ctx, propagationTimeout)
 	defer cancel()
 	return d.spreader.Spread(ctx, v)
 }
 
-// tellDirectly tells hosts of a version that the rings did not reach in time,
-// and returns those that have it in force.
-func (d *Daemon) tellDirectly(ctx context.Context, v table.Version, hosts []membership.Host) []string {
+// notifyDirectly notifies the given hosts, which the rings did not reach in
+// time, of a version and returns those on which it is active.
+func (d *Daemon) notifyDirectly(ctx context.Context, v table.Version, hosts []membership.Host) []string {
 	var mu sync.Mutex
 	var confirmed []string
 	var g errgroup.Group
-	g.SetLimit(tellsAtOnce)
+	g.SetLimit(maxConcurrentNotifications)
 	for _, h := range hosts {
 		g.Go(func() error {
 			reached, err := d.spreader.Tell(ctx, h.PeerAddress, v)
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -13,10 +13,10 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// statusTimeout bounds the wait for the other daemons' figures.
+// statusTimeout is the maximum wait for the status of the other daemons.
 const statusTimeout = 2 * time.Second
 
-// ownStatus returns this daemon's figures.
+// ownStatus returns the status of this daemon.
 func (d *Daemon) ownStatus() *status.Daemon {
 	s := &status.Daemon{
 		Host:         string(d.view.Self().ID),
@@ -31,7 +31,7 @@
 	return s
 }
 
-// addCell adds a cell that this daemon runs.
+// addCell adds the status of a cell that this daemon coordinates.
 func addCell(s *status.Daemon, one *cell.StatusEntry) {
 	for _, cl := range one.Classes {
 		queue := s.Queues[table.ClassName(cl.Class)]
@@ -77,7 +77,8 @@
 	return &peerv1.StatusResponse{Status: data}
 }
 
-// siteStatus asks every host that is heard of and adds up the figures.
+// siteStatus requests the status of all hosts in the membership view and
+// combines it.
 func (d *Daemon) siteStatus(ctx context.Context) *status.Site {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
--- a/internal/daemon/tick.go
+++ b/internal/daemon/tick.go
@@ -7,7 +7,7 @@
 
 const tickInterval = 100 * time.Millisecond
 
-// tick drives what depends on time only.
+// tick performs the periodic work that depends on time only.
 func (d *Daemon) tick(ctx context.Context) {
 	ticker := d.clock.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -21,7 +21,7 @@
 				d.logger.Warn("this daemon was paused")
 			}
 			d.view.Sweep()
-			d.owner.Update(d.view.Hosts(), d.hostList.liveDaemons())
+			d.limitOwner.Update(d.view.Hosts(), d.hostList.liveDaemons())
 			d.coordinator.Tick(d.view.Ready(), d.placer.Suspects())
 			d.cells.DropOrphans()
 			d.placer.Tick()
--- a/internal/tablesync/conflict.go
+++ b/internal/tablesync/conflict.go
@@ -9,26 +9,26 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// Conflict says that rows were changed by another edit since the version that
-// this edit is based on. It shows both sides.
+// Conflict is the error for an edit of rows that another edit has changed since
+// the version that this edit is based on. It shows both sides.
 type Conflict struct {
 	// Base is the version that the edit is based on.
 	Base table.Version `json:"base"`
-	// Current is the version that the edit met.
+	// Current is the newest version at the time of the edit.
 	Current table.Version `json:"current"`
-	// Rows lists the rows that both sides changed, and is empty if the base
-	// is so old that it is no longer kept.
+	// Rows lists the rows that both sides changed. It is empty if the base
+	// version is no longer stored.
 	Rows []RowConflict `json:"rows"`
 }
 
-// RowConflict is one row that both sides changed.
+// RowConflict is a row that both sides changed.
 type RowConflict struct {
 	Row    string          `json:"row"`
 	Fields []FieldConflict `json:"fields"`
 }
 
-// FieldConflict is one field that at least one side changed. The values are
-// JSON; a side that has no such row has an empty value.
+// FieldConflict is a field that at least one side changed. The values are JSON;
+// the value is empty for a side that has no such row.
 type FieldConflict struct {
 	Field  string `json:"field"`
 	Base   string `json:"base"`
@@ -36,7 +36,7 @@
 	Mine   string `json:"mine"`
 }
 
-// Error lists the rows.
+// Error returns a message that lists the conflicting rows.
 func (c *Conflict) Error() string {
 	if len(c.Rows) == 0 {
 		return fmt.Sprintf("version %d is too old to edit; version %d is in force", c.Base, c.Current)
@@ -48,8 +48,8 @@
 	return fmt.Sprintf("changed by another edit between versions %d and %d: %s", c.Base, c.Current, strings.Join(names, ", "))
 }
 
-// merge applies to theirs what mine changes in base, row by row. Rows that
-// both change are conflicts.
+// merge applies the changes from base to mine to theirs, row by row. Rows that
+// both sides changed are conflicts.
 func merge(base, theirs, mine *table.Table) (merged *table.Table, conflicts []RowConflict) {
 	var classes, endpoints, accounts []RowConflict
 	merged = &table.Table{}
@@ -61,8 +61,8 @@
 
 // mergeRows merges the rows of one kind.
 func mergeRows[R any](kind string, base, theirs, mine []R, name func(*R) string) (merged []R, conflicts []RowConflict) {
-	was, now, want := encodeRows(base, name), encodeRows(theirs, name), encodeRows(mine, name)
-	changedByMe := func(id string) bool { return was[id] != want[id] }
+	baseRows, theirRows, myRows := encodeRows(base, name), encodeRows(theirs, name), encodeRows(mine, name)
+	changedByMe := func(id string) bool { return baseRows[id] != myRows[id] }
 	for i := range theirs {
 		if id := name(&theirs[i]); !changedByMe(id) {
 			merged = append(merged, theirs[i])
@@ -73,19 +73,19 @@
 		}
 	}
 	for i := range mine {
-		if id := name(&mine[i]); changedByMe(id) && now[id] == "" {
+		if id := name(&mine[i]); changedByMe(id) && theirRows[id] == "" {
 			merged = append(merged, mine[i])
 		}
 	}
-	for _, id := range sortedKeys(was, now, want) {
-		if changedByMe(id) && was[id] != now[id] {
-			conflicts = append(conflicts, RowConflict{Row: kind + id, Fields: compareFields(was[id], now[id], want[id])})
+	for _, id := range sortedKeys(baseRows, theirRows, myRows) {
+		if changedByMe(id) && baseRows[id] != theirRows[id] {
+			conflicts = append(conflicts, RowConflict{Row: kind + id, Fields: compareFields(baseRows[id], theirRows[id], myRows[id])})
 		}
 	}
 	return merged, conflicts
 }
 
-// encodeRows returns the JSON form of each row by name.
+// encodeRows returns the JSON form of each row, by name.
 func encodeRows[R any](rows []R, name func(*R) string) map[string]string {
 	encoded := make(map[string]string, len(rows))
 	for i := range rows {
@@ -107,17 +107,18 @@
 
 // compareFields returns the fields in which the three forms of a row differ.
 func compareFields(base, theirs, mine string) []FieldConflict {
-	was, now, want := flatten(base), flatten(theirs), flatten(mine)
+	baseFields, theirFields, myFields := flatten(base), flatten(theirs), flatten(mine)
 	var fields []FieldConflict
-	for _, f := range sortedKeys(was, now, want) {
-		if was[f] != now[f] || was[f] != want[f] {
-			fields = append(fields, FieldConflict{Field: f, Base: was[f], Theirs: now[f], Mine: want[f]})
+	for _, f := range sortedKeys(baseFields, theirFields, myFields) {
+		if baseFields[f] != theirFields[f] || baseFields[f] != myFields[f] {
+			fields = append(fields, FieldConflict{Field: f, Base: baseFields[f], Theirs: theirFields[f], Mine: myFields[f]})
 		}
 	}
 	return fields
 }
 
-// flatten maps the dotted names of a JSON object's leaves to their JSON.
+// flatten maps the dotted names of a JSON object's leaf fields to their JSON
+// values.
 func flatten(object string) map[string]string {
 	fields := map[string]string{}
 	if object != "" {
--- a/internal/tablesync/edit.go
+++ b/internal/tablesync/edit.go
@@ -14,44 +14,48 @@
 )
 
 const (
-	// maxRebases bounds how often an edit is tried on a newer table.
+	// maxRebases is the maximum number of attempts to apply an edit to a newer
+	// table.
 	maxRebases = 16
-	// maxHistory bounds one answer of the history.
+	// maxHistory is the maximum number of entries in one response of the
+	// history.
 	maxHistory = 100
 )
 
 // RowEdit changes, adds or deletes one row.
 type RowEdit struct {
-	// ID settles a repeat of the same edit; empty draws a new one.
+	// ID identifies repeats of the same edit; a new one is generated if it is
+	// empty.
 	ID string `json:"id"`
-	// Base is the version that the operator looked at. Zero is the newest
-	// when the edit arrives.
+	// Base is the version that the operator edited. Zero means the newest
+	// version when the edit arrives.
 	Base table.Version `json:"base,omitempty"`
-	// Row is the kind and name, such as "class/counter".
+	// Row is the kind and name of the row, such as "class/counter".
 	Row string `json:"row"`
-	// Action adds or deletes the row; nothing changes its fields.
+	// Action adds or deletes the row; an empty action changes its fields.
 	Action table.Action `json:"action,omitempty"`
-	// Fields maps JSON names, dotted for nested ones, to new values.
+	// Fields maps JSON names, dotted for nested fields, to new values.
 	Fields map[string]string `json:"fields"`
 }
 
-// Accepted tells where an accepted edit is in force.
+// Accepted is the result of an accepted edit.
 type Accepted struct {
 	Version table.Version `json:"version"`
 	EditID  string        `json:"editId"`
-	// Repeated says that an earlier send of the same edit was accepted.
+	// Repeated reports whether an earlier request for the same edit was
+	// accepted.
 	Repeated bool `json:"repeated,omitempty"`
-	// InForce lists the hosts that confirmed the version.
+	// InForce lists the hosts that confirmed that the version is active.
 	InForce []string `json:"inForce"`
 	// Pending lists the hosts that did not confirm it in time.
 	Pending []string `json:"pending"`
 }
 
-// Push spreads the version in force to the other hosts and tells which
-// confirmed it.
+// Push propagates the active version to the other hosts. It returns the hosts
+// that confirmed it and those that did not.
 type Push func(ctx context.Context, v table.Version) (inForce, pending []string)
 
-// Editor changes the table.
+// Editor applies edits to the table.
 type Editor struct {
 	keeper *Keeper
 	store  *Store
@@ -59,13 +63,13 @@
 	now    func() time.Time
 }
 
-// NewEditor returns an editor that pushes what is accepted.
+// NewEditor returns an editor that propagates accepted edits with push.
 func NewEditor(keeper *Keeper, store *Store, push Push, now func() time.Time) *Editor {
 	return &Editor{keeper: keeper, store: store, push: push, now: now}
 }
 
-// Put replaces the whole table. Rows that others have changed since the
-// version it is based on, and that it doesn't change, keep their changes.
+// Put replaces the whole table. Rows that v does not change keep the changes
+// that others have made since the version that v is based on.
 func (e *Editor) Put(ctx context.Context, v table.Versioned, operator string) (a *Accepted, err error) {
 	if faults := v.Table.Check(); len(faults) > 0 {
 		return nil, faults
@@ -74,9 +78,9 @@
 	return e.accept(ctx, entry, &v.Version, func(*table.Table) (*table.Table, error) { return v.Table, nil })
 }
 
-// Edit changes one row of the table that the operator looked at. Edits of
-// other rows that were accepted meanwhile stay; edits of the same row are a
-// Conflict.
+// Edit changes one row of the version that the operator edited. Edits of other
+// rows that were accepted since then are kept; edits of the same row result in
+// a Conflict.
 func (e *Editor) Edit(ctx context.Context, edit RowEdit, operator string) (a *Accepted, err error) {
 	entry := Entry{EditID: edit.ID, Operator: operator, At: e.now(), Summary: edit.summary()}
 	if entry.EditID == "" {
@@ -100,33 +104,34 @@
 	return strings.TrimSpace(string(r.Action) + " " + r.Row + " " + strings.Join(parts, " "))
 }
 
-// accept stores what change makes of the base version, or of the newest one
-// if base is nil, re-based on the newest one. When another edit is accepted first, it is re-based again.
+// accept applies change to the base version, or to the newest one if base is
+// nil, rebases the result onto the newest version and stores it. If another
+// edit is accepted first, the result is rebased again.
 func (e *Editor) accept(ctx context.Context, entry Entry, base *table.Version, change func(*table.Table) (*table.Table, error)) (*Accepted, error) {
 	if v, err := e.store.Accepted(ctx, entry); err != nil || v != 0 {
-		return e.repeated(ctx, entry, v, err)
+		return e.repeatedResult(ctx, entry, v, err)
 	}
 	if err := e.keeper.Refresh(ctx, e.store); err != nil {
 		return nil, err
 	}
-	basis, err := e.basis(ctx, base)
+	baseTable, err := e.baseTable(ctx, base)
 	if err != nil {
 		return nil, err
 	}
-	mine, err := change(basis.Table)
+	mine, err := change(baseTable.Table)
 	if err != nil {
 		return nil, err
 	}
 	for range maxRebases {
 		current := e.current()
-		merged, err := rebase(basis, current, mine)
+		merged, err := rebase(baseTable, current, mine)
 		if err != nil {
 			return nil, err
 		}
 		version, err := e.store.Put(ctx, current.Version, merged, entry)
 		switch {
 		case errors.Is(err, errRepeated):
-			return e.repeated(ctx, entry, version, nil)
+			return e.repeatedResult(ctx, entry, version, nil)
 		case errors.Is(err, ErrConflict):
 			if err := e.keeper.Refresh(ctx, e.store); err != nil {
 				return nil, err
@@ -138,13 +143,13 @@
 		if err := e.keeper.Adopt(version, mustJSON(merged)); err != nil {
 			return nil, err
 		}
-		e.store.clean(ctx, version)
-		return e.spread(ctx, entry, version, false), nil
+		e.store.deleteExpired(ctx, version)
+		return e.propagate(ctx, entry, version, false), nil
 	}
 	return nil, ErrConflict
 }
 
-// current returns the table in force, which is empty before the first put.
+// current returns the active table, or an empty one before the first put.
 func (e *Editor) current() *table.Versioned {
 	if v := e.keeper.Current(); v != nil {
 		return v
@@ -152,8 +157,8 @@
 	return &table.Versioned{Table: &table.Table{}}
 }
 
-// basis returns the table that an edit is based on.
-func (e *Editor) basis(ctx context.Context, version *table.Version) (*table.Versioned, error) {
+// baseTable returns the table that an edit is based on.
+func (e *Editor) baseTable(ctx context.Context, version *table.Version) (*table.Versioned, error) {
 	current := e.current()
 	switch {
 	case version == nil || *version == current.Version:
@@ -162,7 +167,7 @@
 		return nil, errors.Wrapf(ErrStoreOlder, "version %d", *version)
 	}
 	t, err := e.store.LoadVersion(ctx, *version)
-	if errors.Is(err, errNotKept) {
+	if errors.Is(err, errNotStored) {
 		return nil, &Conflict{Base: *version, Current: current.Version, Rows: []RowConflict{}}
 	}
 	if err != nil {
@@ -171,13 +176,13 @@
 	return &table.Versioned{Version: *version, Table: t}, nil
 }
 
-func rebase(basis, current *table.Versioned, mine *table.Table) (*table.Table, error) {
-	if basis.Version == current.Version {
+func rebase(base, current *table.Versioned, mine *table.Table) (*table.Table, error) {
+	if base.Version == current.Version {
 		return mine, nil
 	}
-	merged, conflicts := merge(basis.Table, current.Table, mine)
+	merged, conflicts := merge(base.Table, current.Table, mine)
 	if len(conflicts) > 0 {
-		return nil, &Conflict{Base: basis.Version, Current: current.Version, Rows: conflicts}
+		return nil, &Conflict{Base: base.Version, Current: current.Version, Rows: conflicts}
 	}
 	if faults := merged.Check(); len(faults) > 0 {
 		return nil, faults
@@ -185,18 +190,19 @@
 	return merged, nil
 }
 
-// repeated answers an edit that was accepted already, when its reply was lost.
-func (e *Editor) repeated(ctx context.Context, entry Entry, version table.Version, err error) (*Accepted, error) {
+// repeatedResult returns the result of an edit that was accepted before, but
+// whose response was lost.
+func (e *Editor) repeatedResult(ctx context.Context, entry Entry, version table.Version, err error) (*Accepted, error) {
 	if err != nil {
 		return nil, err
 	}
 	if err := e.keeper.Refresh(ctx, e.store); err != nil {
 		return nil, err
 	}
-	return e.spread(ctx, entry, version, true), nil
+	return e.propagate(ctx, entry, version, true), nil
 }
 
-func (e *Editor) spread(ctx context.Context, entry Entry, version table.Version, repeated bool) *Accepted {
+func (e *Editor) propagate(ctx context.Context, entry Entry, version table.Version, repeated bool) *Accepted {
 	inForce, pending := e.push(ctx, version)
 	return &Accepted{Version: version, EditID: entry.EditID, Repeated: repeated, InForce: inForce, Pending: pending}
 }
@@ -210,7 +216,7 @@
 	return e.store.History(ctx, after, maxHistory)
 }
 
-// Status returns the HTTP status for an editor's error.
+// Status returns the HTTP status code for an editor's error.
 func Status(err error) int {
 	if _, ok := errors.Into[table.Faults](err); ok {
 		return http.StatusUnprocessableEntity
--- a/internal/tablesync/edit_test.go
+++ b/internal/tablesync/edit_test.go
@@ -23,29 +23,30 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// script is a scenario of edits through two daemons, "a" and "b".
-type script struct {
+// scenario is a list of edits through two daemons, "a" and "b".
+type scenario struct {
 	Name  string `json:"name"`
 	Story string `json:"story"`
 	Steps []step `json:"steps"`
-	// Final maps rows and fields to their JSON in the end.
+	// Final maps rows and fields to their expected JSON after the last step.
 	Final map[string]map[string]string `json:"final"`
-	// Versions is how many edits were accepted in the end, the first put
-	// included.
+	// Versions is the expected number of accepted edits after the last step,
+	// including the initial put.
 	Versions int `json:"versions"`
 }
 
 type step struct {
 	By   string             `json:"by"`
 	Edit *tablesync.RowEdit `json:"edit"`
-	// Put replaces the whole table of the base version, with a row changed.
+	// Put replaces the whole table with that of the base version, with one row
+	// changed.
 	Put *tablesync.RowEdit `json:"put"`
-	// Meanwhile is accepted through the other daemon just before this
-	// step's transaction reaches the store.
+	// Meanwhile is an edit that is accepted through the other daemon just
+	// before this step's transaction reaches the store.
 	Meanwhile *tablesync.RowEdit `json:"meanwhile"`
-	// Faults stay as set until the next step that sets them.
+	// Faults remain set until the next step that sets them.
 	Faults *standin.PlatformFaults `json:"faults"`
-	// LoseReply loses the reply to this step's transaction.
+	// LoseReply drops the response to this step's transaction.
 	LoseReply bool        `json:"loseReply"`
 	Expect    expectation `json:"expect"`
 }
@@ -53,32 +54,32 @@
 type expectation struct {
 	Version  table.Version `json:"version"`
 	Repeated bool          `json:"repeated"`
-	// Status is that of the error, zero for none.
+	// Status is the expected HTTP status of the error, or zero for success.
 	Status int `json:"status"`
-	// Conflict lists the fields of the conflict's rows.
+	// Conflict lists the expected rows of the conflict with their fields.
 	Conflict []tablesync.RowConflict `json:"conflict"`
-	// Error is part of the error's text.
+	// Error is a part of the expected error message.
 	Error string `json:"error"`
 }
 
-// office is a platform with two daemons' editors.
-type office struct {
+// testSite is a platform with the editors of two daemons.
+type testSite struct {
 	t        *testing.T
 	platform *standin.Platform
 	editors  map[string]*tablesync.Editor
 	keepers  map[string]*tablesync.Keeper
 	store    *tablesync.Store
-	// before is called once before the next transaction is handled.
-	mu     sync.Mutex
-	before func()
+	// beforeTransact is called once before the next transaction is handled.
+	mu             sync.Mutex
+	beforeTransact func()
 }
 
-func newOffice(t *testing.T) *office {
-	o := &office{t: t, platform: standin.NewPlatform(), editors: map[string]*tablesync.Editor{}, keepers: map[string]*tablesync.Keeper{}}
+func newTestSite(t *testing.T) *testSite {
+	o := &testSite{t: t, platform: standin.NewPlatform(), editors: map[string]*tablesync.Editor{}, keepers: map[string]*tablesync.Keeper{}}
 	handler := o.platform.Handler()
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == platform.PathTransact {
-			o.runBefore()
+			o.runBeforeTransact()
 		}
 		handler.ServeHTTP(w, r)
 	}))
@@ -102,31 +103,31 @@
 	return o
 }
 
-func (o *office) runBefore() {
+func (o *testSite) runBeforeTransact() {
 	o.mu.Lock()
-	f := o.before
-	o.before = nil
+	f := o.beforeTransact
+	o.beforeTransact = nil
 	o.mu.Unlock()
 	if f != nil {
 		f()
 	}
 }
 
-func (o *office) run(i int, s step) {
+func (o *testSite) run(i int, s step) {
 	o.t.Helper()
 	if s.Faults != nil {
 		o.platform.SetFaults(*s.Faults)
 	}
 	if s.Meanwhile != nil {
 		other := map[string]string{"a": "b", "b": "a"}[s.By]
-		o.before = func() {
+		o.beforeTransact = func() {
 			if _, err := o.editors[other].Edit(context.Background(), *s.Meanwhile, other); err != nil {
 				o.t.Errorf("step %d: meanwhile: %v", i, err)
 			}
 		}
 	}
 	if s.LoseReply {
-		o.before = func() { o.platform.SetFaults(standin.PlatformFaults{LoseReplies: 1}) }
+		o.beforeTransact = func() { o.platform.SetFaults(standin.PlatformFaults{LoseReplies: 1}) }
 	}
 	var got *tablesync.Accepted
 	var err error
@@ -141,8 +142,8 @@
 	o.check(i, s.Expect, got, err)
 }
 
-// put sends the whole table as it was in the base version, with one change.
-func (o *office) put(by string, r tablesync.RowEdit) (*tablesync.Accepted, error) {
+// put replaces the whole table with that of the base version, with one change.
+func (o *testSite) put(by string, r tablesync.RowEdit) (*tablesync.Accepted, error) {
 	t, err := o.store.LoadVersion(context.Background(), r.Base)
 	if err != nil {
 		return nil, err
@@ -154,7 +155,7 @@
 	return o.editors[by].Put(context.Background(), table.Versioned{Version: r.Base, Table: changed}, by)
 }
 
-func (o *office) check(i int, want expectation, got *tablesync.Accepted, err error) {
+func (o *testSite) check(i int, want expectation, got *tablesync.Accepted, err error) {
 	o.t.Helper()
 	if want.Status != 0 {
 		if err == nil || tablesync.Status(err) != want.Status || !strings.Contains(err.Error(), want.Error) {
@@ -181,7 +182,7 @@
 	return errX == nil && errY == nil && string(x) == string(y)
 }
 
-func (o *office) checkFinal(s script) {
+func (o *testSite) checkFinal(s scenario) {
 	o.t.Helper()
 	o.platform.SetFaults(standin.PlatformFaults{})
 	version, object, err := o.store.Head(context.Background())
@@ -217,11 +218,11 @@
 		o.t.Errorf("the history has %d entries (%v), want %d", len(history), err, s.Versions)
 	}
 	if kept := o.platform.Objects(); kept != s.Versions {
-		o.t.Errorf("%d objects are stored for %d versions", kept, s.Versions)
+		o.t.Errorf("%d objects are stored, want %d", kept, s.Versions)
 	}
 }
 
-// Each scenario's story stands in its data file.
+// Each scenario is described in its data file.
 func TestEdits(t *testing.T) {
 	files, err := filepath.Glob("testdata/edits/*.json")
 	if err != nil || len(files) == 0 {
@@ -232,12 +233,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var s script
+		var s scenario
 		if err := json.Unmarshal(data, &s); err != nil {
 			t.Fatalf("%s: %v", file, err)
 		}
 		t.Run(s.Name, func(t *testing.T) {
-			o := newOffice(t)
+			o := newTestSite(t)
 			for i, st := range s.Steps {
 				o.run(i, st)
 			}
@@ -246,10 +247,10 @@
 	}
 }
 
-// Ten operators each edit a row of their own at the same moment. Every edit is
-// accepted, none is lost, and the history has each once.
+// Several operators each edit a different row at the same time. Every edit must
+// be accepted, none may be lost, and the history must contain each once.
 func TestConcurrentEditsOfDifferentRows(t *testing.T) {
-	o := newOffice(t)
+	o := newTestSite(t)
 	rows := []string{"summary", "counter", "slots", "booking", "checks", "notes"}
 	var wg sync.WaitGroup
 	for i, row := range rows {
@@ -266,14 +267,14 @@
 	for _, row := range rows {
 		final["class/"+row] = map[string]string{"weight": "9"}
 	}
-	o.checkFinal(script{Versions: 1 + len(rows), Final: final})
+	o.checkFinal(scenario{Versions: 1 + len(rows), Final: final})
 }
 
-// Old tables fill the object store unless they are deleted. After more edits
-// than are kept, the number of objects stays bounded, and an edit based on a
-// version that is gone is told to start over.
+// Old tables would fill the object store if they were not deleted. After more
+// edits than are retained, the number of objects must stay bounded, and an edit
+// based on a deleted version must fail with a Conflict without rows.
 func TestOldTablesAreDeleted(t *testing.T) {
-	o := newOffice(t)
+	o := newTestSite(t)
 	for i := range 60 {
 		edit := tablesync.RowEdit{Row: "class/notes", Fields: map[string]string{"weight": []string{"2", "3"}[i%2]}}
 		if _, err := o.editors["a"].Edit(context.Background(), edit, "a"); err != nil {
@@ -290,11 +291,11 @@
 	}
 }
 
-// The store is put back to a state before the newest edits. The daemon goes on
-// with the newer table, counts it, doesn't take the store for a sign that it
-// is up to date, and refuses edits until the store has caught up.
-func TestStoreThatLostVersions(t *testing.T) {
-	o := newOffice(t)
+// The store is restored to a state before the newest edits. The daemon must
+// keep the newer table, count the event, not treat the store as confirmation
+// that it is up to date, and refuse edits until the store has caught up.
+func TestStoreWithLostVersions(t *testing.T) {
+	o := newTestSite(t)
 	clock, metrics := clockwork.NewFakeClock(), metric.NewRegistry()
 	k := tablesync.NewKeeper(clock, metrics)
 	data := o.keepers["a"].Newer(0, true).Data
@@ -314,9 +315,9 @@
 	}
 }
 
-// What keeps a daemon from refusing as staleTable: contact with the store, by
-// itself or through peers; and with the store down, peers, unless fewer than
-// half of the hosts are heard of.
+// Contact with the store, directly or through peers, keeps the table from
+// becoming stale. While the store is down, contact with peers does so as well,
+// unless the daemon is in contact with fewer than half of the hosts.
 func TestStale(t *testing.T) {
 	data, err := os.ReadFile("testdata/stale.json")
 	if err != nil {
@@ -324,7 +325,7 @@
 	}
 	var cases []struct {
 		Name string `json:"name"`
-		// Contacts are seconds before now; absent means never.
+		// Store and Peer are seconds before now; absent means never.
 		Store    *int `json:"store"`
 		Peer     *int `json:"peer"`
 		PeerAge  int  `json:"peerStoreAge"`
@@ -352,17 +353,17 @@
 	}
 }
 
-// A small fleet whose daemons tell each other by function calls. One daemon
-// dies while a version spreads: all others get it, each fetches it once, and
-// the answer names those that have it.
-func TestSpread(t *testing.T) {
+// Daemons notify each other by function calls, and one of them fails while a
+// version is propagated. All others must get the version, each must fetch it
+// only once, and the result must list the hosts that have it.
+func TestPropagation(t *testing.T) {
 	const n = 9
 	keepers := make([]*tablesync.Keeper, n)
 	spreaders := make([]*tablesync.Spreader, n)
 	var mu sync.Mutex
 	fetches := 0
 	index := func(address string) int { return slices.Index(strings.Split("0 1 2 3 4 5 6 7 8", " "), address) }
-	const dead = 4
+	const failed = 4
 	for i := range n {
 		keepers[i] = tablesync.NewKeeper(clockwork.NewFakeClock(), metric.NewRegistry())
 		name := string(rune('0' + i))
@@ -370,8 +371,8 @@
 			Keeper: keepers[i], Host: name, Count: func(string) {},
 			Partners: func() []string { return []string{string(rune('0' + (i+1)%n)), string(rune('0' + (i*2+3)%n))} },
 			Tell: func(ctx context.Context, address string, v table.Version) ([]string, error) {
-				if index(address) == dead {
-					return nil, errors.New("dead")
+				if index(address) == failed {
+					return nil, errors.New("daemon is down")
 				}
 				return spreaders[index(address)].Told(ctx, name, v), nil
 			},
@@ -387,14 +388,14 @@
 			},
 		}
 	}
-	o := newOffice(t)
+	o := newTestSite(t)
 	data := o.keepers["a"].Newer(0, true).Data
 	if err := keepers[0].Adopt(1, data); err != nil {
 		t.Fatal(err)
 	}
 	got := spreaders[0].Spread(context.Background(), 1)
 	if want := strings.Split("0 1 2 3 5 6 7 8", " "); !slices.Equal(got, want) {
-		t.Errorf("in force at %v, want %v", got, want)
+		t.Errorf("active on %v, want %v", got, want)
 	}
 	if fetches != n-2 {
 		t.Errorf("%d fetches, want %d", fetches, n-2)
--- a/internal/tablesync/fuzz_test.go
+++ b/internal/tablesync/fuzz_test.go
@@ -9,9 +9,8 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// FuzzAdopt checks that no table that a peer or the store may send crashes the
-// keeper, that only a valid one comes into force, and that the version never
-// falls.
+// FuzzAdopt checks that no table from a peer or the store crashes the keeper,
+// that only a valid table becomes active, and that the version never decreases.
 func FuzzAdopt(f *testing.F) {
 	valid := []byte(`{"classes":[{"name":"a","weight":1,"pools":["m"],"maxWait":"1s"}],"endpoints":[{"name":"e","kind":"engine","pool":"m","url":"http://10.0.0.1:80","concurrency":1}],"accounts":[]}`)
 	f.Add(uint64(7), valid, uint64(6), valid)
@@ -30,7 +29,7 @@
 				t.Fatalf("version %d became %d: %v", before, after, err)
 			}
 			if current := k.Current(); current != nil && len(current.Table.Check()) > 0 {
-				t.Fatalf("in force with faults: %v", current.Table.Check())
+				t.Fatalf("active table has faults: %v", current.Table.Check())
 			}
 		}
 	})
--- a/internal/tablesync/keeper.go
+++ b/internal/tablesync/keeper.go
@@ -1,5 +1,5 @@
-// Package tablesync keeps the table in force on this daemon: it reads it from
-// the platform and from peers, and changes it by compare-and-set.
+// Package tablesync maintains the active table of this daemon: it reads the
+// table from the platform and from peers, and edits it by compare-and-set.
 package tablesync
 
 import (
@@ -16,43 +16,46 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// StaleAfter is how long a daemon may hear neither the store nor a peer
-// before it refuses new work, because an edit may be in force elsewhere.
+// StaleAfter is the time without contact with the store or a peer after which a
+// daemon refuses new requests, because an edit that it has not received may be
+// active elsewhere.
 const StaleAfter = 9 * time.Second
 
-// encoded is a table with its JSON form, kept for peers that fetch it.
-type encoded struct {
+// encodedTable is a table with its JSON form, which peers fetch.
+type encodedTable struct {
 	table.Versioned
 	data []byte
 }
 
-// never is a time long before any contact.
-const never = -int64(24 * time.Hour)
+// neverContacted stands for a contact that has not taken place. It is long
+// before start.
+const neverContacted = -int64(24 * time.Hour)
 
-// Keeper holds the table in force. It is safe for concurrent use.
+// Keeper holds the active table. It is safe for concurrent use.
 type Keeper struct {
 	clock   clockwork.Clock
 	metrics *metric.Registry
-	current atomic.Pointer[encoded]
-	// InMinority tells whether fewer than half of the known hosts are heard
-	// of. It must be set before the keeper is used.
+	current atomic.Pointer[encodedTable]
+	// InMinority reports whether this daemon is in contact with fewer than half
+	// of the known hosts. It must be set before the keeper is used.
 	InMinority func() bool
-	// FromPeers tries to put a version in force that some peer has, and tells
-	// whether it did, so that not all daemons load it from the store. It
-	// must be set before the keeper is used.
+	// FromPeers tries to activate a version that a peer has, and reports
+	// whether it did, so that not every daemon loads it from the store. It must
+	// be set before the keeper is used.
 	FromPeers func(ctx context.Context, v table.Version) bool
-	// start is what the times of contact below count from, so that steps of
-	// the wall clock do not matter.
+	// start is the origin of the contact times below, so that steps of the wall
+	// clock do not affect them.
 	start time.Time
-	// store is when the store was last read, by this daemon or by one that
-	// it has heard; peer is when a peer with no newer table was last heard.
-	// Both are in nanoseconds after start, and never if negative.
+	// store is the time at which the store was last read, by this daemon or by
+	// a peer that reported it; peer is the time at which a peer without a newer
+	// table last responded. Both are in nanoseconds after start; a negative
+	// value means never.
 	store atomic.Int64
 	peer  atomic.Int64
 
 	mu       sync.Mutex
 	watchers []func(*table.Versioned)
-	// patches lead from earlier versions to the one in force, in order.
+	// patches lead from earlier versions to the active one, in order.
 	patches []patch
 }
 
@@ -60,20 +63,20 @@
 func NewKeeper(clock clockwork.Clock, metrics *metric.Registry) *Keeper {
 	k := &Keeper{clock: clock, metrics: metrics, start: clock.Now(), InMinority: func() bool { return false }}
 	k.FromPeers = func(context.Context, table.Version) bool { return false }
-	k.store.Store(never)
-	k.peer.Store(never)
+	k.store.Store(neverContacted)
+	k.peer.Store(neverContacted)
 	return k
 }
 
-// Watch calls f with each table that comes into force. It must be called
-// before the first table is adopted.
+// Watch registers f to be called with each table that becomes active. It must
+// be called before the first table is adopted.
 func (k *Keeper) Watch(f func(*table.Versioned)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.watchers = append(k.watchers, f)
 }
 
-// Current returns the table in force, or nil if there is none yet.
+// Current returns the active table, or nil if there is none yet.
 func (k *Keeper) Current() *table.Versioned {
 	if v := k.current.Load(); v != nil {
 		return &v.Versioned
@@ -81,7 +84,7 @@
 	return nil
 }
 
-// Version returns the version in force; zero is none.
+// Version returns the active version, or zero if there is none yet.
 func (k *Keeper) Version() table.Version {
 	if v := k.current.Load(); v != nil {
 		return v.Version
@@ -89,18 +92,18 @@
 	return 0
 }
 
-// HeardStore notes that the store confirmed the version in force, as of a
-// request sent at that time.
-func (k *Keeper) HeardStore(sent time.Time) { raise(&k.store, sent.Sub(k.start)) }
+// HeardStore records that the store confirmed the active version in its
+// response to a request sent at the given time.
+func (k *Keeper) HeardStore(sent time.Time) { storeMax(&k.store, sent.Sub(k.start)) }
 
-// HeardPeer notes that a peer which has no newer table answered a request sent
-// at that time, and that it last heard of the store storeAge before it did.
+// HeardPeer records that a peer without a newer table responded to a request
+// sent at the given time and reported its StoreAge as storeAge.
 func (k *Keeper) HeardPeer(sent time.Time, storeAge time.Duration) {
-	raise(&k.peer, sent.Sub(k.start))
-	raise(&k.store, sent.Add(-storeAge).Sub(k.start))
+	storeMax(&k.peer, sent.Sub(k.start))
+	storeMax(&k.store, sent.Add(-storeAge).Sub(k.start))
 }
 
-func raise(at *atomic.Int64, d time.Duration) {
+func storeMax(at *atomic.Int64, d time.Duration) {
 	for {
 		old := at.Load()
 		if int64(d) <= old || at.CompareAndSwap(old, int64(d)) {
@@ -109,19 +112,20 @@
 	}
 }
 
-// StoreAge returns how long ago the store was last read, by this daemon or by
-// one that it has heard.
+// StoreAge returns the time since the store was last read, by this daemon or by
+// a peer that reported it.
 func (k *Keeper) StoreAge() time.Duration { return k.age(&k.store) }
 
 func (k *Keeper) age(at *atomic.Int64) time.Duration {
 	return k.clock.Since(k.start) - time.Duration(at.Load())
 }
 
-// Stale tells whether this daemon may have missed an edit because it is cut
-// off. While the store is heard of, directly or through peers, it has not. If
-// the store is down, peers that answer tell of edits as well; but a few hosts
-// that are cut off together would keep each other fresh for ever, so that
-// peers count only while at least half of the known hosts are heard of.
+// Stale reports whether this daemon may have missed an edit because of a
+// network partition. It has missed none while it is in contact with the store,
+// directly or through peers. If the store is down, peers that respond report
+// edits as well. But a few hosts that are partitioned together would confirm
+// each other indefinitely, so peers count only while this daemon is in contact
+// with at least half of the known hosts.
 func (k *Keeper) Stale() bool {
 	if k.StoreAge() <= StaleAfter {
 		return false
@@ -129,8 +133,8 @@
 	return k.age(&k.peer) > StaleAfter || k.InMinority()
 }
 
-// Adopt puts a table in force if it is newer than the one in force. A table
-// that is older changes nothing: an accepted edit never reverts.
+// Adopt activates a table if it is newer than the active one. An older table
+// changes nothing, because an accepted edit must never be reverted.
 func (k *Keeper) Adopt(version table.Version, data []byte) (err error) {
 	defer func() {
 		if err != nil {
@@ -148,17 +152,17 @@
 		return faults
 	}
 	t.BuildIndex()
-	k.force(&encoded{Versioned: table.Versioned{Version: version, Table: &t}, data: data})
+	k.activate(&encodedTable{Versioned: table.Versioned{Version: version, Table: &t}, data: data})
 	return nil
 }
 
-func (k *Keeper) force(v *encoded) {
+func (k *Keeper) activate(v *encodedTable) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if v.Version <= k.Version() {
 		return
 	}
-	k.keepPatch(k.current.Load(), v)
+	k.recordPatch(k.current.Load(), v)
 	k.current.Store(v)
 	k.metrics.Set("table.version", int64(v.Version))
 	for _, f := range k.watchers {
--- a/internal/tablesync/patch.go
+++ b/internal/tablesync/patch.go
@@ -9,8 +9,8 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// maxPatches is how many versions back a peer may be to get patches instead
-// of the whole table.
+// maxPatches is the number of versions that a peer may lag behind and still
+// receive patches instead of the whole table.
 const maxPatches = 32
 
 // patch leads from one version to a later one.
@@ -19,25 +19,26 @@
 	data     []byte
 }
 
-// Fetched is what a peer sends to one that has an older version: the whole
-// table or the patches that lead to it. Its zero value says that the peer has
-// nothing newer.
+// Fetched is the response to a peer that has an older version: the whole table
+// or the patches that lead to it. The zero value means that there is no newer
+// version.
 type Fetched struct {
 	Version table.Version
 	// Data is the whole table; it is empty if patches are sent.
 	Data []byte
-	// Patches lead from the asker's version to this one, in order.
+	// Patches lead from the requester's version to this one, in order.
 	Patches [][]byte
-	// Sum is the checksum of the whole table's JSON form.
+	// Sum is the xxHash checksum of the whole table's JSON form.
 	Sum uint64
 }
 
 var (
-	errOtherBase = errors.New("the version in force is not the one that the patches begin with")
-	errOtherSum  = errors.New("the patched table is not the one that was sent")
+	errBaseMismatch     = errors.New("the patches do not start at the active version")
+	errChecksumMismatch = errors.New("checksum mismatch of the patched table")
 )
 
-// Newer returns what a peer that has a version needs to get the one in force.
+// Newer returns the active version for a peer that has an older one: as patches
+// if possible, or the whole table, always if whole is set.
 func (k *Keeper) Newer(than table.Version, whole bool) Fetched {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -53,8 +54,8 @@
 	return f
 }
 
-// patchesFrom returns the patches from a version to the one in force; none if
-// they are not all kept. The caller holds the lock.
+// patchesFrom returns the patches from a version to the active one, or nil if
+// some of them are no longer kept. The caller holds mu.
 func (k *Keeper) patchesFrom(v table.Version) (chain [][]byte) {
 	for _, p := range k.patches {
 		if p.from == v {
@@ -68,15 +69,15 @@
 	return chain
 }
 
-// keepPatch keeps what leads from the table in force to the next one. The
-// caller holds the lock.
-func (k *Keeper) keepPatch(from, to *encoded) {
+// recordPatch records the patch from the active table to the next one. The
+// caller holds mu.
+func (k *Keeper) recordPatch(from, to *encodedTable) {
 	if from == nil {
 		return
 	}
 	diff := table.Diff(from.Table, to.Table)
-	// A patch keeps the order of rows; a table whose rows were put in another
-	// order is sent whole.
+	// A patch can't change the order of rows, so a table with reordered rows is
+	// sent whole.
 	patched, err := json.Marshal(from.Table.Apply(diff))
 	if err != nil || string(patched) != string(to.data) {
 		k.patches = nil
@@ -88,8 +89,8 @@
 	}
 }
 
-// AdoptFetched puts what a peer sent in force. An error after patches means
-// that the whole table must be asked for.
+// AdoptFetched activates the table that a peer has sent. If it fails for
+// patches, the whole table must be requested.
 func (k *Keeper) AdoptFetched(base table.Version, f Fetched) (err error) {
 	if f.Version <= k.Version() {
 		return nil
@@ -99,7 +100,7 @@
 	}
 	current := k.Current()
 	if current == nil || current.Version != base {
-		return errOtherBase
+		return errBaseMismatch
 	}
 	t := current.Table
 	for _, data := range f.Patches {
@@ -114,7 +115,7 @@
 		return errors.Wrap(err, "encode patched table")
 	}
 	if xxhash.Sum64(data) != f.Sum {
-		return errOtherSum
+		return errChecksumMismatch
 	}
 	return k.Adopt(f.Version, data)
 }
--- a/internal/tablesync/patch_test.go
+++ b/internal/tablesync/patch_test.go
@@ -15,8 +15,8 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// tableOf returns a table with so many accounts, and other rows in proportion
-// to the size to design for: 6,600 accounts.
+// tableOf returns a table with the given number of accounts and with other rows
+// in proportion to the design capacity of 6,600 accounts.
 func tableOf(accounts int) *table.Table {
 	t := &table.Table{Classes: []table.Class{}, Endpoints: []table.Endpoint{}, Accounts: []table.Account{}}
 	for i := range accounts * 910 / 6600 {
@@ -49,8 +49,8 @@
 	}
 }
 
-// change makes one random change of a row: of a field, a new row, or a row
-// gone.
+// change makes one random change: it changes a field, adds a row or deletes a
+// row.
 func change(rng *rand.Rand, t *table.Table, n int) *table.Table {
 	c := t.Clone()
 	i := rng.IntN(len(c.Accounts))
@@ -67,10 +67,10 @@
 	return c
 }
 
-// One daemon gets each version of the table by itself, the other fetches from
-// it now and then. Both must have the same table, and what goes between them
-// for an edit is small however large the table is.
-func TestPatchesLeadToTheSameTable(t *testing.T) {
+// One daemon gets each version of the table directly, the other fetches from it
+// occasionally. Both must have the same table, and the bytes transferred per
+// edit must be few regardless of the size of the table.
+func TestPatchesGiveTheSameTable(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	first, second := newTestKeeper(), newTestKeeper()
 	tbl := tableOf(400)
@@ -88,7 +88,7 @@
 			sent += len(p)
 		}
 		if len(f.Data) > 0 {
-			t.Fatalf("version %d came whole", v)
+			t.Fatalf("version %d was sent as a whole table", v)
 		}
 		if err := second.AdoptFetched(second.Version(), f); err != nil {
 			t.Fatal(err)
@@ -104,10 +104,10 @@
 	}
 }
 
-// A daemon missed more versions than are kept, or the rows of the table were
-// put in another order, or it has another base than the patches: it gets the
-// whole table, and the right one.
-func TestWholeTableWherePatchesDoNotLead(t *testing.T) {
+// A daemon must get the whole table, and the right one, if it has missed more
+// versions than are kept, if the rows were reordered, or if its table differs
+// from the one that the patches start from.
+func TestWholeTableIfPatchesDoNotApply(t *testing.T) {
 	tbl := tableOf(400)
 	reordered := tbl.Clone()
 	slices.Reverse(reordered.Accounts)
@@ -150,8 +150,9 @@
 	}
 }
 
-// A peer sends patches that are no patches, or a wrong sum. Nothing changes.
-func TestBrokenPatchesChangeNothing(t *testing.T) {
+// A peer sends invalid patches or a wrong checksum. The active table must not
+// change.
+func TestInvalidPatchesChangeNothing(t *testing.T) {
 	k := newTestKeeper()
 	adopt(t, k, 1, tableOf(400))
 	good, err := json.Marshal(table.Patch{})
@@ -167,12 +168,12 @@
 		}
 	}
 	if err := k.AdoptFetched(0, Fetched{Version: 2, Patches: [][]byte{good}}); err == nil {
-		t.Error("patches on another base were taken")
+		t.Error("patches to another base version were accepted")
 	}
 }
 
-// BenchmarkEditAtFullSize is what an edit costs a daemon that gets it from a
-// peer, at the size to design for.
+// BenchmarkEditAtFullSize measures what an edit costs a daemon that gets it
+// from a peer, at design capacity.
 func BenchmarkEditAtFullSize(b *testing.B) {
 	tbl := tableOf(6600)
 	edited := tbl.Clone()
--- a/internal/tablesync/poll.go
+++ b/internal/tablesync/poll.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// PollInterval is the mean time between reads of the head version.
+// PollInterval is the mean interval between reads of the head version.
 const PollInterval = 2 * time.Second
 
-// pollMessages counts the reads of the head and their answers, as a flow of
-// control traffic.
+// pollMessages is the metric that counts reads of the head and the responses to
+// them, as a flow of control traffic.
 const pollMessages = "control.tablePoll.messages"
 
-// Poll reads the head version until ctx ends. The jitter keeps daemons that
-// start together from reading together.
+// Poll reads the head version until ctx is done. The jitter prevents daemons
+// that start at the same time from reading at the same time.
 func (k *Keeper) Poll(ctx context.Context, s *Store) {
 	for {
 		if err := k.Refresh(ctx, s); err != nil {
@@ -29,7 +29,7 @@
 	}
 }
 
-// Refresh reads the head version once and adopts what is newer.
+// Refresh reads the head version once and adopts the table if it is newer.
 func (k *Keeper) Refresh(ctx context.Context, s *Store) error {
 	sent := k.clock.Now()
 	k.metrics.Inc(pollMessages)
@@ -50,8 +50,8 @@
 			return err
 		}
 	}
-	// A store that has lost versions does not tell whether there are newer
-	// ones than that in force.
+	// A store that has lost versions does not show whether there are versions
+	// newer than the active one.
 	if version >= k.Version() {
 		k.HeardStore(sent)
 	}
--- a/internal/tablesync/spread.go
+++ b/internal/tablesync/spread.go
@@ -11,43 +11,43 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// hopMargin is how much earlier a daemon answers than the one that told it
-// stops waiting.
+// hopMargin is the time by which a daemon responds before the daemon that
+// notified it times out.
 const hopMargin = 100 * time.Millisecond
 
-// Spreader passes versions on between daemons: each tells its partners once
-// of a version, those that lack it fetch it from the teller, and the answers
-// carry back which hosts have it. All fields must be set before it is used.
-// It is safe for concurrent use.
+// Spreader propagates versions among the daemons. Each daemon notifies its
+// partners once of a version, those that lack it fetch it from the notifying
+// daemon, and the responses report which hosts have it. All fields must be set
+// before it is used. It is safe for concurrent use.
 type Spreader struct {
 	Keeper *Keeper
-	// Host names this host.
+	// Host is the id of this host.
 	Host string
-	// Partners returns the peer addresses to tell.
+	// Partners returns the peer addresses to notify.
 	Partners func() []string
-	// Tell tells a daemon of a version and returns the hosts that have it in
-	// force, as far as that daemon knows.
+	// Tell notifies a daemon of a version and returns the hosts on which it is
+	// active, as far as that daemon knows.
 	Tell func(ctx context.Context, address string, v table.Version) (hosts []string, err error)
-	// Fetch returns what a daemon has that is newer than a version; with
-	// whole set, never as patches.
+	// Fetch returns the version of a daemon if it is newer than the given one;
+	// if whole is set, as a whole table and not as patches.
 	Fetch func(ctx context.Context, address string, newerThan table.Version, whole bool) (Fetched, error)
-	// Count counts an event by name.
+	// Count increments the counter of that name.
 	Count func(name string)
 
-	// fetching is held during a fetch, so that one version is fetched once
-	// even if several daemons tell of it.
-	fetching sync.Mutex
+	// fetchMu is held during a fetch, so that a version is fetched only once
+	// even if several daemons notify this one of it.
+	fetchMu sync.Mutex
 
 	mu sync.Mutex
-	// told is the newest version that the partners were told of.
-	told table.Version
+	// notified is the newest version that the partners were notified of.
+	notified table.Version
 }
 
-// Spread tells the partners of a version that is in force here, unless they
-// were told already. It returns the hosts that have it in force.
+// Spread notifies the partners of a version that is active here, unless they
+// were notified already. It returns the hosts on which the version is active.
 func (s *Spreader) Spread(ctx context.Context, v table.Version) (hosts []string) {
 	hosts = []string{s.Host}
-	if !s.startTelling(v) {
+	if !s.markNotified(v) {
 		return hosts
 	}
 	var mu sync.Mutex
@@ -68,20 +68,23 @@
 	return slices.Compact(hosts)
 }
 
-func (s *Spreader) startTelling(v table.Version) bool {
+// markNotified records that the partners are being notified of a version. It
+// returns false if they were notified of it already.
+func (s *Spreader) markNotified(v table.Version) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if v <= s.told {
+	if v <= s.notified {
 		return false
 	}
-	s.told = v
+	s.notified = v
 	return true
 }
 
-// Told handles the news that a daemon has a version in force: it is fetched
-// from there and passed on. It returns the hosts that have it in force.
+// Told handles the notification that a version is active on a daemon: it
+// fetches the version from there and propagates it. It returns the hosts on
+// which the version is active.
 func (s *Spreader) Told(ctx context.Context, address string, v table.Version) []string {
-	ctx, cancel := earlier(ctx, hopMargin)
+	ctx, cancel := withEarlierDeadline(ctx, hopMargin)
 	defer cancel()
 	if err := s.FetchFrom(ctx, address); err != nil {
 		s.Count("table.fetchFailed")
@@ -92,8 +95,9 @@
 	return s.Spread(ctx, v)
 }
 
-// earlier returns a context that ends a margin before ctx does.
-func earlier(ctx context.Context, margin time.Duration) (context.Context, context.CancelFunc) {
+// withEarlierDeadline returns a context whose deadline is before that of ctx by
+// a margin.
+func withEarlierDeadline(ctx context.Context, margin time.Duration) (context.Context, context.CancelFunc) {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return context.WithCancel(ctx)
@@ -101,15 +105,15 @@
 	return context.WithDeadline(ctx, deadline.Add(-margin))
 }
 
-// FetchFrom puts the table of a daemon in force if it is newer.
+// FetchFrom fetches the table of a daemon and activates it if it is newer.
 func (s *Spreader) FetchFrom(ctx context.Context, address string) (err error) {
 	defer func() {
 		if err != nil {
 			err = errors.Wrapf(err, "fetch table from %s", address)
 		}
 	}()
-	s.fetching.Lock()
-	defer s.fetching.Unlock()
+	s.fetchMu.Lock()
+	defer s.fetchMu.Unlock()
 	base := s.Keeper.Version()
 	f, err := s.Fetch(ctx, address, base, false)
 	if err != nil {
--- a/internal/tablesync/store.go
+++ b/internal/tablesync/store.go
@@ -14,7 +14,7 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// Rows and objects that the table is stored in.
+// Names of the rows and objects that the table is stored in.
 var headKey = platform.Key{Table: "table", Key: "head"}
 
 const (
@@ -23,8 +23,8 @@
 	objectPrefix = "table-"
 )
 
-// head is the value of the head row: which object holds the newest version.
-// The row's own version is the table's version.
+// head is the value of the head row: the object that holds the newest version.
+// The version of the row is the version of the table.
 type head struct {
 	Object string `json:"object"`
 	EditID string `json:"editId"`
@@ -36,31 +36,32 @@
 	EditID   string        `json:"editId"`
 	Operator string        `json:"operator"`
 	At       time.Time     `json:"at"`
-	// Summary tells what the edit changed.
+	// Summary describes what the edit changed.
 	Summary string `json:"summary"`
-	// Object holds the table after the edit, as long as it is kept.
+	// Object names the object that holds the table after the edit, until it is
+	// deleted.
 	Object string `json:"object,omitempty"`
 }
 
 // Errors of edits.
 var (
-	// ErrConflict says that other edits were accepted in the meantime, each
-	// time that this one was tried.
+	// ErrConflict means that other edits were accepted first on each attempt.
 	ErrConflict = errors.New("other edits were accepted first")
-	// ErrIDUsed says that another edit has the same id.
+	// ErrIDUsed means that another edit has the same id.
 	ErrIDUsed = errors.New("the edit id belongs to another edit")
-	// ErrUnknown says that the edit may or may not have been accepted. A
-	// repeat with the same edit id tells, and can't take effect twice.
+	// ErrUnknown means that the edit may or may not have been accepted.
+	// Repeating it with the same edit id resolves this and can't apply it
+	// twice.
 	ErrUnknown = errors.New("the store did not say whether it accepted the edit; repeat it with the same edit id")
-	// ErrStoreOlder says that the store knows only older versions than the
-	// one in force, so that nothing can be based on it.
+	// ErrStoreOlder means that all versions in the store are older than the
+	// active one, so that no edit can be based on them.
 	ErrStoreOlder = errors.New("the store is older than the table in force")
 
-	errRepeated = errors.New("the edit was accepted before")
-	errNotKept  = errors.New("the version is no longer kept")
+	errRepeated  = errors.New("the edit was accepted before")
+	errNotStored = errors.New("the version is no longer kept")
 )
 
-// Store reads and changes the table in the platform's services.
+// Store reads and writes the table in the platform's services.
 type Store struct {
 	client *platform.Client
 }
@@ -68,7 +69,7 @@
 // NewStore returns a store.
 func NewStore(client *platform.Client) *Store { return &Store{client: client} }
 
-// Head returns the newest version without its content.
+// Head returns the newest version and the name of its object.
 func (s *Store) Head(ctx context.Context) (version table.Version, object string, err error) {
 	rows, err := s.client.Read(ctx, headKey)
 	if err != nil {
@@ -84,22 +85,24 @@
 	return table.Version(rows[0].Version), h.Object, nil
 }
 
-// Load returns the content of a version.
+// Load returns the content of the object of a version.
 func (s *Store) Load(ctx context.Context, object string) ([]byte, error) {
 	return s.client.GetObject(ctx, object)
 }
 
-// Accepted returns the version as which an edit was accepted earlier, or zero.
+// Accepted returns the version under which an edit was accepted earlier, or
+// zero.
 func (s *Store) Accepted(ctx context.Context, e Entry) (version table.Version, err error) {
 	rows, err := s.client.Read(ctx, editKey(e.EditID))
 	if err != nil {
 		return 0, errors.Wrap(err, "read edit")
 	}
-	return acceptedAs(rows[0], e)
+	return acceptedVersion(rows[0], e)
 }
 
-// acceptedAs returns the version in an edit's row, or zero if there is none.
-func acceptedAs(row platform.Row, e Entry) (table.Version, error) {
+// acceptedVersion returns the version in an edit's row, or zero if there is no
+// such row.
+func acceptedVersion(row platform.Row, e Entry) (table.Version, error) {
 	if row.Version == 0 {
 		return 0, nil
 	}
@@ -113,14 +116,14 @@
 	return earlier.Version, nil
 }
 
-// Put stores t as the version after base. With errRepeated, the version is
-// the one as which the same edit was accepted already. ErrConflict says that
-// another edit was accepted first; ErrUnknown that the edit may have been
-// accepted; with any other error it was not.
+// Put stores t as the version after base. With errRepeated, the returned
+// version is the one under which the same edit was accepted before. ErrConflict
+// means that another edit was accepted first, ErrUnknown that the edit may have
+// been accepted; after any other error it was not accepted.
 //
-// A reply can be lost after the write took effect. The same transaction is
-// then sent again: it expects the row of the edit's id to be absent, so that
-// it can't take effect twice, and its rows tell which of the two happened.
+// The response can be lost after the write took effect. The same transaction is
+// then sent again: it expects the row of the edit id to be absent, so it can't
+// take effect twice, and the returned rows show which of the two happened.
 func (s *Store) Put(ctx context.Context, base table.Version, t *table.Table, e Entry) (version table.Version, err error) {
 	h := head{Object: objectPrefix + rand.Text(), EditID: e.EditID}
 	if err := s.putObject(ctx, h.Object, mustJSON(t)); err != nil {
@@ -139,13 +142,13 @@
 	case resp.Committed:
 		return e.Version, nil
 	}
-	return s.notCommitted(ctx, base, e, resp.Rows)
+	return s.notCommittedError(ctx, base, e, resp.Rows)
 }
 
-// notCommitted finds out from the rows why a put was not committed, and
-// deletes its object unless it has been committed before.
-func (s *Store) notCommitted(ctx context.Context, base table.Version, e Entry, rows []platform.Row) (table.Version, error) {
-	version, err := acceptedAs(rows[2], e)
+// notCommittedError determines from the rows why a put was not committed, and
+// deletes its object unless an earlier attempt of the same put was committed.
+func (s *Store) notCommittedError(ctx context.Context, base table.Version, e Entry, rows []platform.Row) (table.Version, error) {
+	version, err := acceptedVersion(rows[2], e)
 	switch {
 	case err != nil:
 	case version != 0:
@@ -162,11 +165,11 @@
 	return version, err
 }
 
-// Tries of a write whose reply does not come, and the pause before each
-// further one.
+// Number of attempts of a write that fails or gets no response, and the longest
+// delay before the first retry, which grows linearly with each further one.
 const (
-	writeTries = 3
-	writePause = 50 * time.Millisecond
+	writeAttempts = 3
+	retryDelay    = 50 * time.Millisecond
 )
 
 func (s *Store) transact(ctx context.Context, writes ...platform.Write) (resp platform.TransactResponse, err error) {
@@ -177,8 +180,8 @@
 	return resp, err
 }
 
-// putObject stores an object under a random name. If the name is taken, an
-// earlier try has stored it.
+// putObject stores an object under a random name. If the name exists, an
+// earlier attempt has stored the object.
 func (s *Store) putObject(ctx context.Context, name string, data []byte) error {
 	return retry(ctx, func() error {
 		err := s.client.PutObject(ctx, name, data)
@@ -191,15 +194,15 @@
 
 func retry(ctx context.Context, f func() error) error {
 	var err error
-	for try := range writeTries {
+	for attempt := range writeAttempts {
 		if err = f(); err == nil {
 			return nil
 		}
-		pause := time.Duration(mathrand.Float64() * float64(writePause) * float64(try+1))
+		delay := time.Duration(mathrand.Float64() * float64(retryDelay) * float64(attempt+1))
 		select {
 		case <-ctx.Done():
 			return err
-		case <-time.After(pause):
+		case <-time.After(delay):
 		}
 	}
 	return err
@@ -229,7 +232,7 @@
 
 func editKey(id string) platform.Key { return platform.Key{Table: editTable, Key: id} }
 
-// mustJSON encodes a value of this package's own types, which always succeeds.
+// mustJSON encodes a value of this package's own types, which can't fail.
 func mustJSON(v any) json.RawMessage {
 	data, err := json.Marshal(v)
 	if err != nil {
--- a/internal/tablesync/version.go
+++ b/internal/tablesync/version.go
@@ -10,7 +10,8 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// LoadVersion returns a version of the table, or errNotKept.
+// LoadVersion returns a version of the table, or errNotStored if it is no
+// longer stored.
 func (s *Store) LoadVersion(ctx context.Context, v table.Version) (t *table.Table, err error) {
 	defer func() {
 		if err != nil {
@@ -23,7 +24,7 @@
 	}
 	data, err := s.client.GetObject(ctx, e.Object)
 	if errors.Is(err, platform.ErrNotFound) {
-		return nil, errNotKept
+		return nil, errNotStored
 	}
 	if err != nil {
 		return nil, err
@@ -38,31 +39,31 @@
 		return e, err
 	}
 	if rows[0].Version == 0 {
-		return e, errNotKept
+		return e, errNotStored
 	}
 	return e, json.Unmarshal(rows[0].Value, &e)
 }
 
-// What is kept of old versions: the tables, so that edits can be based on
-// them; the rows of the history and of the edits' ids.
+// Retention of old versions, in number of versions: the tables, so that edits
+// can be based on them, and the rows of the history and of the edit ids.
 const (
-	keepTables  = 50
-	keepHistory = 10000
+	retainedTables  = 50
+	retainedHistory = 10000
 )
 
-// clean deletes what the version before has made too old: one table, one row
-// of the history and one of an edit's id at most. What it fails to delete
-// stays.
-func (s *Store) clean(ctx context.Context, v table.Version) {
-	if v > keepTables {
-		if e, err := s.entry(ctx, v-keepTables); err == nil && e.Object != "" {
+// deleteExpired deletes what exceeds the retention after version v was stored:
+// at most one table, one history row and one edit id row. What it fails to
+// delete remains stored.
+func (s *Store) deleteExpired(ctx context.Context, v table.Version) {
+	if v > retainedTables {
+		if e, err := s.entry(ctx, v-retainedTables); err == nil && e.Object != "" {
 			_ = s.client.DeleteObject(ctx, e.Object)
 		}
 	}
-	if v <= keepHistory {
+	if v <= retainedHistory {
 		return
 	}
-	old := v - keepHistory
+	old := v - retainedHistory
 	if e, err := s.entry(ctx, old); err == nil {
 		_, _ = s.client.Transact(ctx,
 			platform.Write{Key: historyKey(old), Expect: 1, Delete: true},
--- a/pkg/table/bench_test.go
+++ b/pkg/table/bench_test.go
@@ -13,7 +13,7 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// The size to design for: see docs/CAPACITY.md.
+// Design capacity; see docs/CAPACITY.md.
 const (
 	fullAccounts  = 6600
 	fullEndpoints = 910
@@ -21,7 +21,7 @@
 	fullClasses   = 24
 )
 
-// fullTable returns a table of the size to design for.
+// fullTable returns a table at design capacity.
 func fullTable() *table.Versioned {
 	t := &table.Table{}
 	for i := range fullEndpoints {
@@ -47,16 +47,16 @@
 	return &table.Versioned{Version: 1, Table: t}
 }
 
-// BenchmarkFullTable measures what one edit costs at the size to design for:
-// the daemon that accepts it changes a row, every daemon reads the result.
+// BenchmarkFullTable measures the cost of one edit at design capacity: the
+// daemon that accepts it changes a row, and every daemon reads the result.
 func BenchmarkFullTable(b *testing.B) {
 	v := fullTable()
 	data, err := json.Marshal(v)
 	if err != nil {
 		b.Fatal(err)
 	}
-	var packed bytes.Buffer
-	w := gzip.NewWriter(&packed)
+	var compressed bytes.Buffer
+	w := gzip.NewWriter(&compressed)
 	if _, err := w.Write(data); err != nil {
 		b.Fatal(err)
 	}
@@ -71,7 +71,7 @@
 			}
 		}
 		b.ReportMetric(float64(len(data)), "bytes")
-		b.ReportMetric(float64(packed.Len()), "gzip-bytes")
+		b.ReportMetric(float64(compressed.Len()), "gzip-bytes")
 	})
 	b.Run("adopt", func(b *testing.B) {
 		b.ReportAllocs()
--- a/pkg/table/check.go
+++ b/pkg/table/check.go
@@ -8,23 +8,24 @@
 	"strings"
 )
 
-// Fault is one error in a table: where it is, what stands there and what is
-// allowed.
+// Fault is one validation error in a table: where it is, the rejected value and
+// the values that are accepted.
 type Fault struct {
-	// Row is the kind and name, such as "class/counter".
+	// Row is the kind and name of the row, such as "class/counter".
 	Row string `json:"row"`
-	// Field is the field's JSON name.
+	// Field is the JSON name of the field.
 	Field string `json:"field"`
-	// Value is what stands there.
+	// Value is the rejected value.
 	Value string `json:"value"`
-	// Allowed tells what may stand there.
+	// Allowed describes the accepted values.
 	Allowed string `json:"allowed"`
 }
 
-// Faults is every fault found in a table; it is an error when not empty.
+// Faults lists all validation errors of a table. It is an error if it is not
+// empty.
 type Faults []Fault
 
-// Error lists the faults, one a line.
+// Error returns the faults, one per line.
 func (f Faults) Error() string {
 	lines := make([]string, 0, len(f))
 	for _, one := range f {
@@ -46,15 +47,15 @@
 	allowedDuration = "zero or a positive duration"
 )
 
-// checker gathers faults.
+// checker collects the faults of a table.
 type checker struct {
 	faults Faults
-	// pools has the kind of each pool's first endpoint.
+	// pools maps each pool to the kind of its first endpoint.
 	pools   map[Pool]EndpointKind
 	classes map[ClassName]bool
-	// seen has the rows so far.
+	// seen holds the rows that have been checked.
 	seen map[string]bool
-	// hashes has the account of each key so far.
+	// hashes maps each key hash found so far to its account.
 	hashes map[string]AccountName
 }
 
@@ -65,7 +66,8 @@
 	c.faults = append(c.faults, Fault{Row: row, Field: field, Value: fmt.Sprint(value), Allowed: allowed})
 }
 
-// Check returns every fault of the table; none means that it is valid.
+// Check validates the table and returns all faults. It returns none if the
+// table is valid.
 func (t *Table) Check() Faults {
 	c := &checker{
 		pools:   map[Pool]EndpointKind{},
@@ -136,8 +138,8 @@
 	c.poolKind(row, e)
 }
 
-// poolKind holds the endpoints of a pool to one kind, because a request for
-// one kind can't be served by the other.
+// poolKind requires that all endpoints of a pool are of one kind, because a
+// request for one kind can't be served by the other.
 func (c *checker) poolKind(row string, e *Endpoint) {
 	first, known := c.pools[e.Pool]
 	c.require(!known || first == e.Kind, row, "kind", e.Kind, string(first)+", as the other endpoints of pool "+string(e.Pool))
@@ -146,8 +148,8 @@
 	}
 }
 
-// isEndpointURL tells whether the text is the start of URLs at an endpoint:
-// an IP address and a port, perhaps with a path that does not end in a slash.
+// isEndpointURL reports whether text is a valid base URL of an endpoint: an IP
+// address and a port, with an optional path that does not end in a slash.
 func isEndpointURL(text string) bool {
 	u, err := url.Parse(text)
 	if err != nil || (u.Scheme != "http" && u.Scheme != "https") {
--- a/pkg/table/csv.go
+++ b/pkg/table/csv.go
@@ -11,7 +11,7 @@
 	"strings"
 )
 
-// Kinds of row in the CSV form. Endpoints have the kinds engine and service.
+// Row kinds in the CSV form. Endpoints have the kinds engine and service.
 const (
 	csvVersion = "version"
 	csvClass   = "class"
@@ -20,8 +20,8 @@
 
 const allowedCSVKind = "class, engine, service, account or version"
 
-// csvHeader returns the names of the columns: kind and name, and then every
-// field of any row, in a fixed order.
+// csvHeader returns the column names: kind and name, followed by the fields of
+// all row types in a fixed order.
 func csvHeader() []string {
 	header := []string{"kind", "name"}
 	for _, columns := range [][]column{classColumns, endpointColumns, accountColumns} {
@@ -34,9 +34,9 @@
 	return header
 }
 
-// WriteCSV writes a table as one sheet: a row with the version, and then one
-// row per class, endpoint and account. Lists stand in one cell, with spaces
-// between the items.
+// WriteCSV writes a table as one sheet: a row with the version, followed by one
+// row per class, endpoint and account. A list is written into one cell, with
+// spaces between its items.
 func WriteCSV(w io.Writer, v *Versioned) error {
 	out := csv.NewWriter(w)
 	header := csvHeader()
@@ -66,7 +66,7 @@
 	columns := rowColumns(row)
 	for i, name := range header {
 		if c, ok := findColumn(columns, name); ok {
-			cells[i] = cellText(c.of(row))
+			cells[i] = cellText(c.value(row))
 		}
 	}
 	cells[0] = kind
@@ -78,9 +78,9 @@
 	semicolonHeader = []byte("kind;name")
 )
 
-// ReadCSV reads the form that WriteCSV writes, also as spreadsheets write it:
-// with a byte-order mark, with semicolons, and with empty rows. It returns
-// every fault of form and of meaning.
+// ReadCSV reads the form that WriteCSV writes, including the variants that
+// spreadsheet programs produce: with a byte-order mark, with semicolons as
+// separators and with empty rows. It returns all syntax and validation errors.
 func ReadCSV(data []byte) (*Versioned, Faults) {
 	r := &csvReader{v: &Versioned{Table: &Table{}}, known: csvHeader()}
 	data = bytes.TrimPrefix(data, byteOrderMark)
@@ -100,26 +100,27 @@
 		}
 	}
 	r.v.Table.normalize()
-	return r.v, append(r.faults, without(r.v.Table.Check(), r.faults)...)
+	return r.v, append(r.faults, withoutReported(r.v.Table.Check(), r.faults)...)
 }
 
-// csvReader gathers rows and faults.
+// csvReader collects the rows and faults of a sheet.
 type csvReader struct {
 	v *Versioned
-	// known has every column that there can be.
+	// known lists all valid column names.
 	known []string
-	// columns has those of this sheet.
+	// columns lists the column names of this sheet.
 	columns []string
-	// versioned is set once the version was read.
-	versioned bool
-	faults    Faults
+	// versionRead is set once the version row has been read.
+	versionRead bool
+	faults      Faults
 }
 
 func (r *csvReader) fault(row, field, value, allowed string) {
 	r.faults = append(r.faults, Fault{Row: row, Field: field, Value: value, Allowed: allowed})
 }
 
-// header takes the first row. It returns false if the rest can't be read.
+// header reads the header row. It returns false if the remaining rows can't be
+// read.
 func (r *csvReader) header(rows [][]string) bool {
 	if len(rows) == 0 || len(rows[0]) < 2 || rows[0][0] != "kind" || rows[0][1] != "name" {
 		r.fault("(header)", "", "", "a first row that begins with kind,name")
@@ -137,7 +138,7 @@
 	return true
 }
 
-// row takes one row.
+// row reads one row.
 func (r *csvReader) row(line int, cells []string) {
 	if !slices.ContainsFunc(cells, func(c string) bool { return c != "" }) {
 		return
@@ -177,13 +178,13 @@
 	if err != nil {
 		r.fault(row, csvVersion, cells[1], "a whole number from zero")
 	}
-	if r.versioned {
+	if r.versionRead {
 		r.fault(row, csvVersion, cells[1], "one version row")
 	}
 	for i, cell := range cells[2:] {
 		r.require(cell == "", row, r.columnAt(i+2), cell, "nothing in a version row")
 	}
-	r.versioned = true
+	r.versionRead = true
 	r.v.Version = Version(version)
 }
 
@@ -200,7 +201,7 @@
 	return fmt.Sprintf("(column %d)", i+1)
 }
 
-// cells sets the fields of a row.
+// cells sets the fields of a row from its cells.
 func (r *csvReader) cells(id string, row any, cells []string) {
 	columns := rowColumns(row)
 	for i, cell := range cells {
@@ -209,10 +210,10 @@
 		switch {
 		case !ok && name == "kind":
 		case !ok:
-			told := i < len(r.columns) && r.columns[i] != "" && !slices.Contains(r.known, name)
-			r.require(cell == "" || told, id, name, cell, "nothing; rows of this kind have "+columnNames(columns))
+			reported := i < len(r.columns) && r.columns[i] != "" && !slices.Contains(r.known, name)
+			r.require(cell == "" || reported, id, name, cell, "nothing; rows of this kind have "+columnNames(columns))
 		default:
-			r.cell(id, name, c.of(row), cell)
+			r.cell(id, name, c.value(row), cell)
 		}
 	}
 }
--- a/pkg/table/field.go
+++ b/pkg/table/field.go
@@ -9,17 +9,19 @@
 	"strings"
 )
 
-// listSeparator joins lists in one cell. No name contains it.
+// listSeparator separates the items of a list within one cell. Names can't
+// contain it.
 const listSeparator = " "
 
-// column is one field of a row: a leaf of its struct.
+// column is one leaf field of a row's struct.
 type column struct {
 	// name is the JSON name, dotted for nested fields.
 	name  string
 	index []int
 }
 
-// columnsOf returns the fields of a row's type in their order.
+// columnsOf returns the leaf fields of a row's type in the order of their
+// declaration.
 func columnsOf(t reflect.Type, prefix string, index []int) []column {
 	var columns []column
 	for i := range t.NumField() {
@@ -41,7 +43,7 @@
 	accountColumns  = columnsOf(reflect.TypeFor[Account](), "", nil)
 )
 
-// rowColumns returns the fields of a row, which is a pointer to one.
+// rowColumns returns the columns of the row that row points to.
 func rowColumns(row any) []column {
 	switch row.(type) {
 	case *Class:
@@ -68,11 +70,11 @@
 	return strings.Join(names, ", ")
 }
 
-func (c column) of(row any) reflect.Value {
+func (c column) value(row any) reflect.Value {
 	return reflect.ValueOf(row).Elem().FieldByIndex(c.index)
 }
 
-// cellText returns a field as the text of a cell.
+// cellText formats a field as the text of a cell.
 func cellText(v reflect.Value) string {
 	if v.Kind() == reflect.Slice {
 		items := make([]string, 0, v.Len())
@@ -93,8 +95,9 @@
 	return fmt.Sprint(v.Interface())
 }
 
-// setCell sets a field from the text of a cell; empty text is the zero value.
-// It returns what is allowed if the text is not.
+// setCell parses the text of a cell into a field; an empty text sets the zero
+// value. If the text is invalid, it returns a description of the accepted
+// values.
 func setCell(v reflect.Value, text string) (allowed string) {
 	switch {
 	case v.Kind() == reflect.Slice:
@@ -114,7 +117,7 @@
 		return ""
 	}
 	if text == "null" || json.Unmarshal([]byte(text), v.Addr().Interface()) != nil {
-		return allowedOf(v.Kind())
+		return acceptedValues(v.Kind())
 	}
 	return ""
 }
@@ -126,7 +129,7 @@
 	}
 }
 
-func allowedOf(kind reflect.Kind) string {
+func acceptedValues(kind reflect.Kind) string {
 	switch kind {
 	case reflect.Bool:
 		return "true or false"
--- a/pkg/table/index.go
+++ b/pkg/table/index.go
@@ -1,6 +1,7 @@
 package table
 
-// index finds rows by name. It is a hint: a hit is compared with the row.
+// index maps names to row positions. A position may be out of date, so a lookup
+// compares the name of the row at that position.
 type index struct {
 	classes   map[ClassName]int
 	endpoints map[EndpointName]int
@@ -8,8 +9,9 @@
 	pools     map[Pool]EndpointKind
 }
 
-// BuildIndex makes lookups by name fast. It must be called before the table
-// is shared, and again after rows were added or removed.
+// BuildIndex builds the index for lookups by name. It must be called before the
+// table is shared between goroutines, and again after rows are added or
+// removed.
 func (t *Table) BuildIndex() {
 	x := &index{
 		classes:   make(map[ClassName]int, len(t.Classes)),
@@ -30,7 +32,7 @@
 	t.index = x
 }
 
-// Class returns the class of that name.
+// Class returns the class with the given name.
 func (t *Table) Class(name ClassName) (*Class, bool) {
 	if t.index != nil {
 		if i, ok := t.index.classes[name]; ok && i < len(t.Classes) && t.Classes[i].Name == name {
@@ -46,7 +48,7 @@
 	return nil, false
 }
 
-// Endpoint returns the endpoint of that name.
+// Endpoint returns the endpoint with the given name.
 func (t *Table) Endpoint(name EndpointName) (*Endpoint, bool) {
 	if t.index != nil {
 		if i, ok := t.index.endpoints[name]; ok && i < len(t.Endpoints) && t.Endpoints[i].Name == name {
@@ -62,7 +64,7 @@
 	return nil, false
 }
 
-// Account returns the client account of that name.
+// Account returns the client account with the given name.
 func (t *Table) Account(name AccountName) (*Account, bool) {
 	if t.index != nil {
 		if i, ok := t.index.accounts[name]; ok && i < len(t.Accounts) && t.Accounts[i].Name == name {
@@ -78,7 +80,8 @@
 	return nil, false
 }
 
-// PoolKind returns the kind of a pool's endpoints, or nothing if it has none.
+// PoolKind returns the kind of a pool's endpoints, or an empty string if the
+// pool has none.
 func (t *Table) PoolKind(pool Pool) EndpointKind {
 	if t.index != nil {
 		return t.index.pools[pool]
--- a/pkg/table/patch.go
+++ b/pkg/table/patch.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Patch is the difference between two tables, by rows.
+// Patch is the difference between two tables in terms of rows.
 type Patch struct {
 	Classes   RowPatch[Class]    `json:"classes,omitzero"`
 	Endpoints RowPatch[Endpoint] `json:"endpoints,omitzero"`
@@ -14,9 +14,9 @@
 
 // RowPatch is the difference between two lists of rows.
 type RowPatch[R any] struct {
-	// Set has the rows that changed, and behind them those that are new.
+	// Set lists the changed and the added rows, in the order of the new table.
 	Set []R `json:"set,omitempty"`
-	// Removed has the names of the rows that are gone.
+	// Removed lists the names of the deleted rows.
 	Removed []string `json:"removed,omitempty"`
 }
 
@@ -24,7 +24,7 @@
 func endpointName(e *Endpoint) string { return string(e.Name) }
 func accountName(a *Account) string   { return string(a.Name) }
 
-// Diff returns what makes to out of from, but for the order of rows.
+// Diff returns the patch that turns from into to, except for the order of rows.
 func Diff(from, to *Table) *Patch {
 	return &Patch{
 		Classes:   diffRows(from.Classes, to.Classes, className),
@@ -33,8 +33,8 @@
 	}
 }
 
-// Apply returns the table with the patch applied. The rows that the patch does
-// not touch are shared with t.
+// Apply returns the table with the patch applied. Rows that the patch does not
+// change are shared with t.
 func (t *Table) Apply(p *Patch) *Table {
 	return &Table{
 		Classes:   p.Classes.apply(t.Classes, className),
--- a/pkg/table/read.go
+++ b/pkg/table/read.go
@@ -12,8 +12,8 @@
 	"github.com/beechhead/beechhead/internal/strictjson"
 )
 
-// ReadJSON reads a table with its version, or a table alone, whose version is
-// then zero. It returns every fault of form and of meaning.
+// ReadJSON reads a table with its version, or a bare table, whose version is
+// then zero. It returns all syntax and validation errors.
 func ReadJSON(data []byte) (*Versioned, Faults) {
 	v := &Versioned{Table: &Table{}}
 	var found []strictjson.Fault
@@ -30,10 +30,10 @@
 	for _, f := range found {
 		faults = append(faults, v.Table.locate(f))
 	}
-	return v, append(faults, without(v.Table.Check(), faults)...)
+	return v, append(faults, withoutReported(v.Table.Check(), faults)...)
 }
 
-// isBare tells whether a document is a table without a version.
+// isBare reports whether a document is a table without a version.
 func isBare(data []byte) bool {
 	var doc map[string]json.RawMessage
 	if json.Unmarshal(data, &doc) != nil {
@@ -45,7 +45,7 @@
 
 var rowPath = regexp.MustCompile(`^(?:table\.)?(classes|endpoints|accounts)\[(\d+)\]\.?(.*)$`)
 
-// locate names the row and field of a fault.
+// locate converts a decoding fault to a Fault that names the row and field.
 func (t *Table) locate(f strictjson.Fault) Fault {
 	m := rowPath.FindStringSubmatch(f.Path)
 	if m == nil {
@@ -58,7 +58,7 @@
 	return Fault{Row: t.rowAt(m[1], i), Field: m[3], Value: f.Value, Allowed: f.Allowed}
 }
 
-// rowAt returns the id of a row, by its number if it has no name.
+// rowAt returns the id of a row, or its list and position if it has no name.
 func (t *Table) rowAt(list string, i int) string {
 	name := ""
 	switch list {
@@ -81,7 +81,7 @@
 	return name
 }
 
-// rowID returns the id of a row, or nothing if the name is empty.
+// rowID returns the id of a row, or an empty string if the name is empty.
 func rowID[Name ~string](kind string, name Name) string {
 	if name == "" {
 		return ""
@@ -89,23 +89,26 @@
 	return kind + "/" + string(name)
 }
 
-// without drops the faults whose row and field others have told already.
-func without(faults, told Faults) Faults {
+// withoutReported removes the faults whose row and field have a fault in
+// reported.
+func withoutReported(faults, reported Faults) Faults {
 	return slices.DeleteFunc(faults, func(f Fault) bool {
-		return slices.ContainsFunc(told, func(o Fault) bool { return o.Row == f.Row && o.Field == f.Field })
+		return slices.ContainsFunc(reported, func(o Fault) bool { return o.Row == f.Row && o.Field == f.Field })
 	})
 }
 
-// UnmarshalJSON reads a table leniently, as programs write it, and gives it
-// the one form that tables have: rows that mean the same are equal, so that no
-// edit of one is taken for a conflict with the other.
+// UnmarshalJSON decodes a table that a program has written and, unlike
+// ReadJSON, ignores unknown fields. It normalizes the table, so that rows with
+// the same meaning are equal and an edit of one does not conflict with the
+// other.
 func (t *Table) UnmarshalJSON(data []byte) error {
-	// An object that was damaged in the store must not pass for a table that
-	// has no rows.
+	// An object that was damaged in the store must not be read as a table
+	// without rows.
 	if string(data) == "null" {
 		return errors.New("null is no table")
 	}
-	// The other type has no methods, so that this one is not called again.
+	// plain has no methods, so decoding into it does not call this method
+	// again.
 	type plain Table
 	var p plain
 	if err := json.Unmarshal(data, &p); err != nil {
@@ -116,7 +119,8 @@
 	return nil
 }
 
-// normalize replaces absent lists by empty ones, so that a table has one form.
+// normalize replaces absent lists with empty ones, so that equal tables have
+// the same representation.
 func (t *Table) normalize() {
 	t.Classes = orEmpty(t.Classes)
 	t.Endpoints = orEmpty(t.Endpoints)
--- a/pkg/table/roundtrip_test.go
+++ b/pkg/table/roundtrip_test.go
@@ -14,9 +14,10 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// Every valid table is the same after each form was written and read again.
-func TestFormsLoseNothing(t *testing.T) {
-	// A fixed seed gives the same verdict every run.
+// A valid table must be unchanged after it is written and read back in either
+// form.
+func TestRoundTrip(t *testing.T) {
+	// A fixed seed makes the result reproducible.
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		t.Fatal(err)
 	}
@@ -44,7 +45,7 @@
 	})
 }
 
-// drawTable draws a valid table.
+// drawTable generates a valid table.
 func drawTable(t *rapid.T) *table.Table {
 	pools := []table.Pool{"assistant", "booking"}
 	kinds := map[table.Pool]table.EndpointKind{"assistant": table.KindEngine, "booking": table.KindService}
@@ -65,7 +66,7 @@
 	return v
 }
 
-// drawName draws a name that only row i has.
+// drawName generates a name that is unique to row i.
 func drawName(t *rapid.T, i int) string {
 	return rapid.StringMatching(`[a-zA-Z0-9][a-zA-Z0-9._-]{0,20}`).Draw(t, "name") + fmt.Sprintf("_%d", i)
 }
@@ -99,8 +100,8 @@
 	}
 }
 
-// FuzzReadCSV checks that no sheet crashes the reader, and that a sheet
-// without a fault is the same after being written and read again.
+// FuzzReadCSV checks that no input crashes the reader, and that a sheet without
+// faults is unchanged after it is written and read back.
 func FuzzReadCSV(f *testing.F) {
 	f.Add([]byte("kind,name,pools,weight,maxWait\nversion,7\nclass,a,m,1,1s\nengine,e\n"))
 	f.Add([]byte("\ufeffkind;name;pool;url;concurrency\r\nengine;e;m;http://10.0.0.1:80;1\r\n;;;\r\n"))
@@ -122,7 +123,7 @@
 	})
 }
 
-// FuzzReadJSON does the same for the JSON form, and edits a row of it.
+// FuzzReadJSON does the same for the JSON form, and edits one row of the table.
 func FuzzReadJSON(f *testing.F) {
 	f.Add([]byte(`{"version":3,"table":{"classes":[{"name":"a","weight":1,"pools":["m"],"maxWait":"1s"}],"endpoints":[{"name":"e","kind":"engine","pool":"m","url":"http://10.0.0.1:80","concurrency":1}],"accounts":[]}}`), "class/a", "target.firstToken", "1s")
 	f.Add([]byte(`{"classes":[{"name":1}],"x":null,"classes":[]}`), "class/", "pools", `["a"]`)
--- a/pkg/table/set.go
+++ b/pkg/table/set.go
@@ -9,10 +9,11 @@
 	"strings"
 )
 
-// Action is what an edit does to its row.
+// Action is the operation that an edit performs on its row.
 type Action string
 
-// The actions. The zero value changes fields of a row that exists.
+// Actions of an edit. The zero value, ActionSet, changes fields of an existing
+// row.
 const (
 	ActionSet    Action = ""
 	ActionAdd    Action = "add"
@@ -22,9 +23,9 @@
 const allowedRow = "class/NAME, endpoint/NAME or account/NAME"
 
 // Change returns a copy of the table with one row changed, added or deleted.
-// The row is named by kind and name, such as "class/counter"; fields by their
-// JSON names, dotted for nested ones. Values are text as in a cell of the CSV
-// form, or JSON. The error is Faults and names every fault.
+// The row is identified by kind and name, such as "class/counter", and the
+// fields by their JSON names, dotted for nested fields. Values are JSON or text
+// as in a CSV cell. The error is of type Faults and lists all faults.
 func (t *Table) Change(action Action, row string, fields map[string]string) (changed *Table, err error) {
 	c := t.Clone()
 	var faults Faults
@@ -38,7 +39,7 @@
 	default:
 		faults = Faults{{Row: row, Field: "action", Value: string(action), Allowed: "add, delete or nothing"}}
 	}
-	faults = append(faults, without(c.Check(), faults)...)
+	faults = append(faults, withoutReported(c.Check(), faults)...)
 	if len(faults) > 0 {
 		return nil, faults
 	}
@@ -96,7 +97,7 @@
 	return nil
 }
 
-// row returns a pointer to the row, or nil.
+// row returns a pointer to the row with the given id, or nil.
 func (t *Table) row(id string) any {
 	kind, name, _ := strings.Cut(id, "/")
 	switch kind {
@@ -128,7 +129,7 @@
 		case name == "name":
 			allowed = "a row keeps its name; add another and delete this one"
 		default:
-			allowed = setValue(c.of(target), value)
+			allowed = setValue(c.value(target), value)
 		}
 		if allowed != "" {
 			faults = append(faults, Fault{Row: row, Field: name, Value: value, Allowed: allowed})
@@ -137,7 +138,8 @@
 	return faults
 }
 
-// setValue sets a field from JSON in quotes or brackets, or from a cell.
+// setValue sets a field from a quoted JSON string, a JSON list or the text of a
+// CSV cell.
 func setValue(v reflect.Value, value string) (allowed string) {
 	if strings.HasPrefix(value, `"`) {
 		var text string
--- a/pkg/table/table.go
+++ b/pkg/table/table.go
@@ -1,5 +1,6 @@
-// Package table defines the table that operators edit: classes of requests,
-// endpoints and client accounts, with its JSON and CSV forms and its checks.
+// Package table defines the table that operators edit: request classes,
+// endpoints and client accounts. It reads and writes the JSON and CSV forms of
+// the table and validates it.
 package table
 
 import (
@@ -9,14 +10,14 @@
 	"github.com/go-faster/errors"
 )
 
-// Kinds of row, as in "class/counter".
+// Row kinds, as in the row id "class/counter".
 const (
 	rowClass    = "class"
 	rowEndpoint = "endpoint"
 	rowAccount  = "account"
 )
 
-// Names of the things in a table. All are unique within their kind.
+// Identifiers in a table. Names are unique within their kind of row.
 type (
 	// ClassName names a class of requests.
 	ClassName string
@@ -24,26 +25,28 @@
 	EndpointName string
 	// AccountName names a client account.
 	AccountName string
-	// Pool names a model or a plain service; its endpoints are interchangeable.
+	// Pool names a model or a plain service, whose endpoints are
+	// interchangeable.
 	Pool string
-	// Tier orders classes; zero is served first.
+	// Tier is the priority of a class; tier 0 is served first.
 	Tier int
-	// Version counts accepted edits. The table service assigns it.
+	// Version is the number of accepted edits. The table service of the
+	// platform assigns it.
 	Version uint64
 )
 
-// MaxTier is the lowest tier that a class may have.
+// MaxTier is the highest tier number, that is, the lowest priority.
 const MaxTier Tier = 9
 
-// Duration is a time.Duration that reads and prints as text such as "1.3s".
+// Duration is a time.Duration that is marshaled as text such as "1.3s".
 type Duration time.Duration
 
-// MarshalText prints the duration in Go's form.
+// MarshalText formats the duration like time.Duration.String.
 func (d Duration) MarshalText() ([]byte, error) {
 	return []byte(time.Duration(d).String()), nil
 }
 
-// UnmarshalText reads the duration in Go's form.
+// UnmarshalText parses the duration like time.ParseDuration.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -53,54 +56,58 @@
 	return nil
 }
 
-// Std returns the duration as the standard type.
+// Std returns the duration as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// Class is one class of requests.
+// Class is a class of requests with its priority, latency target and limits.
 type Class struct {
 	Name ClassName `json:"name"`
 	// Tier is between 0 and MaxTier.
 	Tier Tier `json:"tier"`
-	// Weight is the share among the classes of one tier; at least 1.
+	// Weight is the class's share relative to the other classes of its tier; at
+	// least 1.
 	Weight int `json:"weight"`
 	// Pools lists the models or services that the class may use; never empty.
 	Pools []Pool `json:"pools"`
-	// Target is what the class is promised; zero fields promise nothing.
+	// Target is the latency target; zero fields set no target.
 	Target Target `json:"target"`
-	// MaxWait bounds the time in the queue before ageing; positive.
+	// MaxWait is the time in the queue after which a request is aged; positive.
 	MaxWait Duration `json:"maxWait"`
-	// Limits bound the class; zero fields are unlimited.
+	// Limits are the limits of the class; zero fields are unlimited.
 	Limits Limits `json:"limits"`
-	// Idempotent classes may be sent more than once.
+	// Idempotent reports whether a request of the class may be sent more than
+	// once.
 	Idempotent bool `json:"idempotent"`
-	// Preemptible classes may be cancelled and resumed for a higher tier.
+	// Preemptible reports whether a request of the class may be cancelled in
+	// favour of a higher-priority tier and resumed later.
 	Preemptible bool `json:"preemptible"`
 }
 
-// Target is the latency that a class is promised.
+// Target is the latency target of a class.
 type Target struct {
 	FirstToken    Duration `json:"firstToken"`
 	BetweenTokens Duration `json:"betweenTokens"`
 	WholeAnswer   Duration `json:"wholeAnswer"`
 }
 
-// Limits bound a class or its accounts. Zero means unlimited.
+// Limits are the limits of a class and of its accounts. Zero means unlimited.
 type Limits struct {
-	// Rate is in requests per second.
+	// Rate is the maximum number of requests per second.
 	Rate float64 `json:"rate"`
-	// Concurrency counts requests in progress.
+	// Concurrency is the maximum number of requests in progress.
 	Concurrency int `json:"concurrency"`
-	// Queue counts waiting requests.
+	// Queue is the maximum number of queued requests.
 	Queue int `json:"queue"`
-	// Tokens bounds the length of one answer.
+	// Tokens is the maximum length of one response.
 	Tokens int `json:"tokens"`
-	// AccountRate is in requests per second and account.
+	// AccountRate is the maximum number of requests per second of one account.
 	AccountRate float64 `json:"accountRate"`
-	// AccountConcurrency counts requests in progress per account.
+	// AccountConcurrency is the maximum number of requests in progress of one
+	// account.
 	AccountConcurrency int `json:"accountConcurrency"`
 }
 
-// EndpointKind tells engines from plain services.
+// EndpointKind distinguishes engines from plain services.
 type EndpointKind string
 
 // The kinds of endpoint.
@@ -118,27 +125,32 @@
 	URL    string `json:"url"`
 	Region string `json:"region"`
 	Zone   string `json:"zone"`
-	// Concurrency is how many requests it runs at once; at least 1.
+	// Concurrency is the number of slots, that is, of requests that the
+	// endpoint runs at the same time; at least 1.
 	Concurrency int `json:"concurrency"`
-	// MemoryTokens is how many tokens an engine that batches its requests
-	// keeps in memory; zero is unknown.
+	// MemoryTokens is the capacity of the KV cache, in tokens, of an engine
+	// that batches its requests; zero means unknown.
 	MemoryTokens int `json:"memoryTokens"`
-	// ChecksFence tells whether it refuses orders with an old fencing number.
+	// ChecksFence reports whether the endpoint refuses orders with an old
+	// fencing number.
 	ChecksFence bool `json:"checksFence"`
 	CanCancel   bool `json:"canCancel"`
 	CanResume   bool `json:"canResume"`
-	// EchoesID tells whether it returns the request id that it was sent.
+	// EchoesID reports whether the endpoint returns the request id that it was
+	// sent.
 	EchoesID bool `json:"echoesId"`
-	// Adapters lists what it should have loaded beside its pool's model.
+	// Adapters lists the adapters that the endpoint should have loaded in
+	// addition to the model of its pool.
 	Adapters []string `json:"adapters"`
 }
 
 // Account is one client account.
 type Account struct {
 	Name AccountName `json:"name"`
-	// KeyHashes are SHA-256 sums of API keys, in lower-case hex.
+	// KeyHashes are the SHA-256 hashes of the API keys, in lowercase hex.
 	KeyHashes []string `json:"keyHashes"`
-	// Classes lists the classes that it may use; the first is its default.
+	// Classes lists the classes that the account may use; the first is its
+	// default.
 	Classes []ClassName `json:"classes"`
 }
 
@@ -148,7 +160,7 @@
 	Endpoints []Endpoint `json:"endpoints"`
 	Accounts  []Account  `json:"accounts"`
 
-	// index is nil until BuildIndex.
+	// index is nil until BuildIndex is called.
 	index *index
 }
 
@@ -162,11 +174,11 @@
 func (t *Table) Clone() *Table {
 	data, err := json.Marshal(t)
 	if err != nil {
-		panic("table: a table always marshals: " + err.Error())
+		panic("table: marshal table: " + err.Error())
 	}
 	var c Table
 	if err := json.Unmarshal(data, &c); err != nil {
-		panic("table: a marshalled table always unmarshals: " + err.Error())
+		panic("table: unmarshal table: " + err.Error())
 	}
 	return &c
 }
--- a/pkg/table/table_test.go
+++ b/pkg/table/table_test.go
@@ -11,17 +11,17 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// readCase is a document with the faults and warnings that it has.
+// readCase is a document with its expected faults and warnings.
 type readCase struct {
 	Name string `json:"name"`
-	// JSON or CSV is the document, by lines.
+	// JSON or CSV is the document, as a list of lines.
 	JSON     []string `json:"json"`
 	CSV      []string `json:"csv"`
 	Faults   []string `json:"faults"`
 	Warnings []string `json:"warnings"`
 }
 
-func TestReadTellsEveryFault(t *testing.T) {
+func TestReadReportsAllFaults(t *testing.T) {
 	for _, c := range load[readCase](t, "testdata/read.json") {
 		t.Run(c.Name, func(t *testing.T) {
 			var v *table.Versioned
@@ -44,18 +44,19 @@
 	Row    string            `json:"row"`
 	Fields map[string]string `json:"fields"`
 	Faults []string          `json:"faults"`
-	// Has is a part of the changed table's CSV form, Lacks is not in it.
+	// Has is a part of the CSV form of the changed table; Lacks must not occur
+	// in it.
 	Has   string `json:"has"`
 	Lacks string `json:"lacks"`
 }
 
-func TestChangeOfOneRow(t *testing.T) {
+func TestChange(t *testing.T) {
 	offices := readOffices(t)
-	before := sheet(t, offices)
+	before := csvText(t, offices)
 	for _, c := range load[changeCase](t, "testdata/change.json") {
 		t.Run(c.Name, func(t *testing.T) {
 			changed, err := offices.Table.Change(c.Action, c.Row, c.Fields)
-			if sheet(t, offices) != before {
+			if csvText(t, offices) != before {
 				t.Fatal("the table itself was changed")
 			}
 			if err != nil {
@@ -63,7 +64,7 @@
 				return
 			}
 			compare(t, "faults", "", c.Faults)
-			after := sheet(t, &table.Versioned{Table: changed})
+			after := csvText(t, &table.Versioned{Table: changed})
 			if !strings.Contains(after, c.Has) {
 				t.Errorf("%q is not in\n%s", c.Has, after)
 			}
@@ -74,11 +75,12 @@
 	}
 }
 
-// A spreadsheet writes the sheet with a byte-order mark, semicolons, carriage
-// returns and empty rows at the end. It is the same table.
-func TestSheetAsSpreadsheetsWriteIt(t *testing.T) {
+// A spreadsheet program may export the sheet with a byte-order mark,
+// semicolons, carriage returns and empty rows at the end. Reading it must give
+// the same table.
+func TestReadSpreadsheetExport(t *testing.T) {
 	want := readOffices(t)
-	text := strings.ReplaceAll(sheet(t, want), ",", ";")
+	text := strings.ReplaceAll(csvText(t, want), ",", ";")
 	text = "\ufeff" + strings.ReplaceAll(text, "\n", "\r\n") + ";;;\r\n"
 	got, faults := table.ReadCSV([]byte(text))
 	if len(faults) > 0 {
@@ -89,7 +91,7 @@
 	}
 }
 
-func TestIndexFindsWhatASearchFinds(t *testing.T) {
+func TestIndexMatchesLinearSearch(t *testing.T) {
 	plain, indexed := readOffices(t).Table, readOffices(t).Table
 	indexed.BuildIndex()
 	for _, name := range []string{"counter", "booking-0", "studio", "none", ""} {
@@ -100,17 +102,17 @@
 		a1, ok5 := plain.Account(table.AccountName(name))
 		a2, ok6 := indexed.Account(table.AccountName(name))
 		if ok1 != ok2 || ok3 != ok4 || ok5 != ok6 {
-			t.Errorf("%q is found by one way only", name)
+			t.Errorf("%q is found either only with or only without the index", name)
 		}
 		if !reflect.DeepEqual(c1, c2) || !reflect.DeepEqual(e1, e2) || !reflect.DeepEqual(a1, a2) {
-			t.Errorf("%q differs", name)
+			t.Errorf("%q differs with and without the index", name)
 		}
 	}
 }
 
-// One daemon stores a table whose empty lists are null, another one an edit of
-// it whose empty lists are []. The rows that the edit leaves alone are equal,
-// so that an edit based on the first is no conflict with the second.
+// One daemon stores a table whose empty lists are null, another stores an edit
+// of it whose empty lists are []. The unchanged rows must be equal; otherwise
+// an edit based on the first version conflicts with the second.
 func TestAbsentAndEmptyListsAreEqual(t *testing.T) {
 	var absent, empty table.Table
 	if err := json.Unmarshal([]byte(`{"endpoints":[{"name":"e"}],"accounts":[{"name":"a"}]}`), &absent); err != nil {
@@ -124,7 +126,7 @@
 	}
 }
 
-func TestNullIsNoTable(t *testing.T) {
+func TestNullTableIsRejected(t *testing.T) {
 	var tab table.Table
 	if err := json.Unmarshal([]byte("null"), &tab); err == nil {
 		t.Error("null was read as a table")
@@ -163,7 +165,7 @@
 	return v
 }
 
-func sheet(t *testing.T, v *table.Versioned) string {
+func csvText(t *testing.T, v *table.Versioned) string {
 	t.Helper()
 	var b bytes.Buffer
 	if err := table.WriteCSV(&b, v); err != nil {
--- a/pkg/table/warn.go
+++ b/pkg/table/warn.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// Warnings returns what is allowed but seldom meant. Its entries read like
-// faults: Allowed tells what is expected.
+// Warnings returns settings that are valid but probably unintended. They are
+// reported as faults whose Allowed describes the expected value.
 func (t *Table) Warnings() Faults {
 	c := &checker{}
 	t.warnTiers(c)
@@ -17,58 +17,59 @@
 	return c.faults
 }
 
-// demand is what the classes of one tier may take of one pool.
-type demand struct {
+// tierInPool identifies the classes of one tier that may use one pool.
+type tierInPool struct {
 	pool Pool
 	tier Tier
 }
 
-// warnTiers finds tiers whose limits let them take a whole pool, so that the
-// tiers after them are served only by ageing.
+// warnTiers reports tiers whose concurrency limits allow them to occupy a whole
+// pool, so that lower-priority tiers are served only through ageing.
 func (t *Table) warnTiers(c *checker) {
-	places := map[Pool]int{}
+	slots := map[Pool]int{}
 	for i := range t.Endpoints {
-		places[t.Endpoints[i].Pool] += t.Endpoints[i].Concurrency
+		slots[t.Endpoints[i].Pool] += t.Endpoints[i].Concurrency
 	}
-	taken, last := t.demands()
-	keys := slices.SortedFunc(maps.Keys(taken), func(a, b demand) int {
+	limits, lowest := t.concurrencyByTier()
+	keys := slices.SortedFunc(maps.Keys(limits), func(a, b tierInPool) int {
 		return cmp.Or(cmp.Compare(a.pool, b.pool), cmp.Compare(a.tier, b.tier))
 	})
 	for _, d := range keys {
-		if d.tier == last[d.pool] {
+		if d.tier == lowest[d.pool] {
 			continue
 		}
 		row := fmt.Sprintf("tier/%d", d.tier)
-		allowed := fmt.Sprintf("under the %d places of pool %s in sum, so that later tiers get some", places[d.pool], d.pool)
-		n := taken[d]
+		allowed := fmt.Sprintf("under the %d places of pool %s in sum, so that later tiers get some", slots[d.pool], d.pool)
+		n := limits[d]
 		c.require(n != unlimited, row, "limits.concurrency", "unlimited", allowed)
-		c.require(n == unlimited || n < places[d.pool], row, "limits.concurrency", n, allowed)
+		c.require(n == unlimited || n < slots[d.pool], row, "limits.concurrency", n, allowed)
 	}
 }
 
-// unlimited marks a demand without a limit.
+// unlimited marks a tier without a concurrency limit.
 const unlimited = -1
 
-// demands returns what each tier may take of each pool, and each pool's last
-// tier.
-func (t *Table) demands() (taken map[demand]int, last map[Pool]Tier) {
-	taken, last = map[demand]int{}, map[Pool]Tier{}
+// concurrencyByTier returns the sum of the concurrency limits of each tier in
+// each pool, and the lowest-priority tier of each pool.
+func (t *Table) concurrencyByTier() (limits map[tierInPool]int, lowest map[Pool]Tier) {
+	limits, lowest = map[tierInPool]int{}, map[Pool]Tier{}
 	for i := range t.Classes {
 		cl := &t.Classes[i]
 		for _, p := range cl.Pools {
-			d := demand{p, cl.Tier}
-			last[p] = max(last[p], cl.Tier)
-			if cl.Limits.Concurrency == 0 || taken[d] == unlimited {
-				taken[d] = unlimited
+			d := tierInPool{p, cl.Tier}
+			lowest[p] = max(lowest[p], cl.Tier)
+			if cl.Limits.Concurrency == 0 || limits[d] == unlimited {
+				limits[d] = unlimited
 				continue
 			}
-			taken[d] += cl.Limits.Concurrency
+			limits[d] += cl.Limits.Concurrency
 		}
 	}
-	return taken, last
+	return limits, lowest
 }
 
-// warnUnused finds rows that nothing can use.
+// warnUnused reports accounts without a key, classes that no account may use
+// and endpoints whose pool no class uses.
 func (t *Table) warnUnused(c *checker) {
 	classes, pools := map[ClassName]bool{}, map[Pool]bool{}
 	for i := range t.Accounts {
@@ -91,8 +92,8 @@
 	}
 }
 
-// warnPreemption finds engines on which preemptible classes can't be
-// preempted.
+// warnPreemption reports engines that can't cancel or resume requests although
+// their pool has preemptible classes.
 func (t *Table) warnPreemption(c *checker) {
 	preemptible := map[Pool]bool{}
 	for i := range t.Classes {
