--- a/internal/attainment/recorder.go
+++ b/internal/attainment/recorder.go
@@ -1,5 +1,6 @@
-// Package attainment counts, for each class of requests, how many met the
-// latency targets of the class, and what was delivered, refused and wasted.
+// Package attainment counts, per request class, how many requests met the
+// latency targets of the class, how many were refused, and how many tokens were
+// delivered and wasted.
 package attainment
 
 import (
@@ -15,27 +16,29 @@
 
 // Figures are the counts of one class.
 type Figures struct {
-	// Total counts the requests that ended, refused ones included.
+	// Total counts the requests that ended, including refused ones.
 	Total int64 `json:"total"`
-	// Met counts those that were answered whole and met every target.
+	// Met counts the requests that were answered completely and met every
+	// target.
 	Met int64 `json:"met"`
-	// The next three count the answers that met one target each.
+	// The next three count the complete responses that met the respective
+	// target.
 	MetFirstToken    int64 `json:"metFirstToken"`
 	MetBetweenTokens int64 `json:"metBetweenTokens"`
 	MetWholeAnswer   int64 `json:"metWholeAnswer"`
-	// Answered counts the requests that were answered whole.
+	// Answered counts the requests that were answered completely.
 	Answered int64 `json:"answered"`
-	// Tokens counts the tokens of whole answers; GoodTokens those of answers
-	// that met every target.
+	// Tokens counts the tokens of complete responses; GoodTokens those of
+	// responses that met every target.
 	Tokens     int64 `json:"tokens"`
 	GoodTokens int64 `json:"goodTokens"`
-	// WastedTokens counts the tokens of answers that did not become whole.
+	// WastedTokens counts the tokens of responses that were not completed.
 	WastedTokens int64 `json:"wastedTokens"`
-	// Refused counts by reason the requests that ended otherwise.
+	// Refused counts the requests that were not answered completely, by reason.
 	Refused map[outcome.Reason]int64 `json:"refused"`
 }
 
-// Add adds other figures.
+// Add adds the counts of o.
 func (f *Figures) Add(o Figures) {
 	f.Total += o.Total
 	f.Met += o.Met
@@ -54,7 +57,7 @@
 	}
 }
 
-// Attainment returns the share of the requests that met every target, 1 if
+// Attainment returns the fraction of requests that met every target, or 1 if
 // there were none.
 func (f *Figures) Attainment() float64 {
 	if f.Total == 0 {
@@ -63,18 +66,18 @@
 	return float64(f.Met) / float64(f.Total)
 }
 
-// ClassStatus is what is known of one class.
+// ClassStatus has the current counts of one class.
 type ClassStatus struct {
-	// Waiting counts the requests without a first token, Running the others
-	// in progress.
+	// Waiting counts the requests without a first token, Running the other
+	// requests in progress.
 	Waiting int64 `json:"waiting"`
 	Running int64 `json:"running"`
-	// Recent covers the last minute, Since the time since the start.
+	// Recent covers the last minute, Since the time since the daemon's start.
 	Recent Figures `json:"recent"`
 	Since  Figures `json:"since"`
 }
 
-// Add adds another daemon's status.
+// Add adds the status that another daemon reports.
 func (s *ClassStatus) Add(o ClassStatus) {
 	s.Waiting += o.Waiting
 	s.Running += o.Running
@@ -82,15 +85,16 @@
 	s.Since.Add(o.Since)
 }
 
-// Recent figures are kept in slots, so that old ones can be dropped.
+// Recent figures are kept in buckets of bucketLength, so that old ones can be
+// dropped.
 const (
-	slotLength = 10 * time.Second
-	slots      = 6
+	bucketLength = 10 * time.Second
+	bucketCount  = 6
 	// Window is the time that recent figures cover.
-	Window = slots * slotLength
+	Window = bucketCount * bucketLength
 )
 
-// Recorder counts for all classes. It is safe for concurrent use.
+// Recorder counts the requests of all classes. It is safe for concurrent use.
 type Recorder struct {
 	clock clockwork.Clock
 
@@ -98,16 +102,17 @@
 	classes map[table.ClassName]*classRecord
 }
 
-// classRecord counts for one class.
+// classRecord has the counts of one class.
 type classRecord struct {
 	waiting int64
 	running int64
 	since   Figures
-	// recent has a slot's figures at the slot's number modulo slots.
-	recent [slots]slot
+	// recent is a ring buffer: a bucket's index is its number modulo
+	// bucketCount.
+	recent [bucketCount]bucket
 }
 
-type slot struct {
+type bucket struct {
 	number  int64
 	figures Figures
 }
@@ -117,7 +122,8 @@
 	return &Recorder{clock: clock, classes: map[table.ClassName]*classRecord{}}
 }
 
-// class returns the record of a class. The caller holds the lock.
+// class returns the record of a class, creating it if needed. The caller must
+// hold the lock.
 func (r *Recorder) class(name table.ClassName) *classRecord {
 	c := r.classes[name]
 	if c == nil {
@@ -127,24 +133,24 @@
 	return c
 }
 
-func (r *Recorder) slotNumber() int64 { return r.clock.Now().UnixNano() / int64(slotLength) }
+func (r *Recorder) bucketNumber() int64 { return r.clock.Now().UnixNano() / int64(bucketLength) }
 
-// count adds figures to a class. The caller holds the lock.
-func (r *Recorder) count(c *classRecord, f Figures) {
+// addFigures adds figures to a class. The caller must hold the lock.
+func (r *Recorder) addFigures(c *classRecord, f Figures) {
 	c.since.Add(f)
-	number := r.slotNumber()
-	s := &c.recent[number%slots]
+	number := r.bucketNumber()
+	s := &c.recent[number%bucketCount]
 	if s.number != number {
-		*s = slot{number: number}
+		*s = bucket{number: number}
 	}
 	s.figures.Add(f)
 }
 
-// Status returns what is known of every class.
+// Status returns the status of every class.
 func (r *Recorder) Status() map[table.ClassName]ClassStatus {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	oldest := r.slotNumber() - slots + 1
+	oldest := r.bucketNumber() - bucketCount + 1
 	all := make(map[table.ClassName]ClassStatus, len(r.classes))
 	for name, c := range r.classes {
 		s := ClassStatus{Waiting: c.waiting, Running: c.running, Since: c.since}
--- a/internal/attainment/recorder_test.go
+++ b/internal/attainment/recorder_test.go
@@ -14,8 +14,8 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// requestCase is one request: when its tokens come, how it ends, and what is
-// counted.
+// requestCase is one request: the times of its tokens, how it ends, and the
+// figures that are expected.
 type requestCase struct {
 	Name     string             `json:"name"`
 	Target   table.Target       `json:"target"`
@@ -49,13 +49,13 @@
 }
 
 func run(clock *clockwork.FakeClock, r *attainment.Recorder, c requestCase) {
-	begun := clock.Now()
+	start := clock.Now()
 	q := r.Begin(&table.Class{Name: "a", Target: c.Target})
 	for _, at := range c.TokensAt {
-		clock.Advance(at.Std() - clock.Since(begun))
+		clock.Advance(at.Std() - clock.Since(start))
 		q.Token()
 	}
-	clock.Advance(c.EndAt.Std() - clock.Since(begun))
+	clock.Advance(c.EndAt.Std() - clock.Since(start))
 	if c.Reason == "" {
 		q.End(nil)
 		return
@@ -63,9 +63,9 @@
 	q.End(outcome.NotRunError(c.Reason, ""))
 }
 
-// Requests count as waiting, then as running, and what ended is forgotten by
-// the recent figures after the window.
-func TestRecentFiguresEnd(t *testing.T) {
+// A request counts as waiting, then as running. Once it has ended, the recent
+// figures include it until the window has passed.
+func TestRecentFiguresExpire(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	r := attainment.NewRecorder(clock)
 	class := &table.Class{Name: "a"}
--- a/internal/attainment/request.go
+++ b/internal/attainment/request.go
@@ -7,47 +7,49 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// lateShare is the share of an answer's gaps between tokens that may exceed
-// the target: one in lateShare, as 95 in 100 are promised.
-const lateShare = 20
+// lateGapRatio limits how many gaps between a response's tokens may exceed the
+// target: one in lateGapRatio, since the target applies to 95 percent of the
+// gaps.
+const lateGapRatio = 20
 
-// Request is one request in progress. It is not safe for concurrent use.
+// Request records one request in progress. It is not safe for concurrent use.
 type Request struct {
 	recorder *Recorder
 	class    table.ClassName
 	target   table.Target
-	begun    time.Time
+	beganAt  time.Time
 
-	tokens int64
-	first  time.Duration
-	last   time.Time
-	// late counts the gaps between tokens that exceeded the target.
-	late int64
+	tokens      int64
+	firstToken  time.Duration
+	lastTokenAt time.Time
+	// lateGaps counts the gaps between tokens that exceeded the target.
+	lateGaps int64
 }
 
-// Begin counts a request of a class as waiting. It must be ended.
+// Begin counts a new request of a class as waiting. End must be called on the
+// result.
 func (r *Recorder) Begin(class *table.Class) *Request {
 	r.mu.Lock()
 	r.class(class.Name).waiting++
 	r.mu.Unlock()
-	return &Request{recorder: r, class: class.Name, target: class.Target, begun: r.clock.Now()}
+	return &Request{recorder: r, class: class.Name, target: class.Target, beganAt: r.clock.Now()}
 }
 
-// Token notes that a token was delivered.
+// Token records that a token was delivered.
 func (q *Request) Token() {
 	now := q.recorder.clock.Now()
 	q.tokens++
 	if q.tokens == 1 {
-		q.first = now.Sub(q.begun)
-		q.started()
-	} else if target := q.target.BetweenTokens.Std(); target > 0 && now.Sub(q.last) > target {
-		q.late++
+		q.firstToken = now.Sub(q.beganAt)
+		q.markRunning()
+	} else if target := q.target.BetweenTokens.Std(); target > 0 && now.Sub(q.lastTokenAt) > target {
+		q.lateGaps++
 	}
-	q.last = now
+	q.lastTokenAt = now
 }
 
-// started counts the request as running instead of waiting.
-func (q *Request) started() {
+// markRunning counts the request as running instead of waiting.
+func (q *Request) markRunning() {
 	q.recorder.mu.Lock()
 	defer q.recorder.mu.Unlock()
 	c := q.recorder.class(q.class)
@@ -55,11 +57,11 @@
 	c.running++
 }
 
-// End counts how the request ended: with its whole answer if err is nil.
+// End records how the request ended: with a complete response if err is nil.
 func (q *Request) End(err error) {
 	f := Figures{Total: 1}
 	if err == nil {
-		q.answered(&f)
+		q.addAnswered(&f)
 	} else {
 		f.WastedTokens = q.tokens
 		f.Refused = map[outcome.Reason]int64{outcome.FromError(err).Reason: 1}
@@ -73,28 +75,29 @@
 	} else {
 		c.running--
 	}
-	r.count(c, f)
+	r.addFigures(c, f)
 }
 
-func (q *Request) answered(f *Figures) {
-	whole := q.recorder.clock.Now().Sub(q.begun)
-	first := q.first
+func (q *Request) addAnswered(f *Figures) {
+	total := q.recorder.clock.Now().Sub(q.beganAt)
+	first := q.firstToken
 	if q.tokens == 0 {
-		// A plain service's answer comes at once: its first byte is its last.
-		first = whole
+		// The response of a plain service is forwarded as a whole, so its first
+		// byte comes with its last.
+		first = total
 	}
 	gaps := max(q.tokens-1, 0)
 	f.Answered, f.Tokens = 1, q.tokens
 	f.MetFirstToken = met(first, q.target.FirstToken)
-	f.MetWholeAnswer = met(whole, q.target.WholeAnswer)
-	if q.late*lateShare <= gaps {
+	f.MetWholeAnswer = met(total, q.target.WholeAnswer)
+	if q.lateGaps*lateGapRatio <= gaps {
 		f.MetBetweenTokens = 1
 	}
 	f.Met = f.MetFirstToken * f.MetBetweenTokens * f.MetWholeAnswer
 	f.GoodTokens = f.Met * f.Tokens
 }
 
-// met returns 1 if the time is within the target, or there is none.
+// met returns 1 if there is no target or d does not exceed it, and 0 otherwise.
 func met(d time.Duration, target table.Duration) int64 {
 	if target > 0 && d > target.Std() {
 		return 0
--- a/internal/caller/account.go
+++ b/internal/caller/account.go
@@ -13,12 +13,13 @@
 
 // accountIndex finds the account of an API key in the table in force.
 type accountIndex struct {
-	current atomic.Pointer[indexed]
+	current atomic.Pointer[indexedTable]
 }
 
-// indexed is a table with its accounts by key. They stay together, so that a
-// request never meets the accounts of one version and the classes of another.
-type indexed struct {
+// indexedTable is a table with its accounts by key hash. They are replaced
+// together, so that a request never sees accounts of one table version and
+// classes of another.
+type indexedTable struct {
 	table  *table.Versioned
 	byHash map[string]*table.Account
 }
@@ -31,12 +32,12 @@
 			byHash[h] = a
 		}
 	}
-	x.current.Store(&indexed{table: v, byHash: byHash})
+	x.current.Store(&indexedTable{table: v, byHash: byHash})
 }
 
-// find returns the account whose key is given, and the table that has it. The
-// map is asked for the key's hash, so the time taken tells nothing of the
-// stored keys; the last comparison is constant-time as well.
+// find returns the account that a key belongs to and the table that contains
+// it. The map is looked up by the key's hash, so that the time taken reveals
+// nothing about the stored keys; the final comparison is constant-time as well.
 func (x *accountIndex) find(key string) (*table.Account, *table.Versioned) {
 	index := x.current.Load()
 	if index == nil || key == "" {
@@ -58,7 +59,8 @@
 
 const bearerScheme = "Bearer "
 
-// bearer returns the API key of a request; the scheme's case does not matter.
+// bearer returns the API key of a request. The scheme is matched
+// case-insensitively.
 func bearer(r *http.Request) string {
 	value := r.Header.Get("Authorization")
 	if len(value) < len(bearerScheme) || !strings.EqualFold(value[:len(bearerScheme)], bearerScheme) {
--- a/internal/caller/admit.go
+++ b/internal/caller/admit.go
@@ -15,7 +15,7 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// Keys of what the middleware leaves in the context.
+// Keys of the values that the middleware stores in the context.
 const (
 	contextID      = "requestID"
 	contextAccount = "account"
@@ -33,9 +33,9 @@
 }
 
 // identify gives each request an id, names the host, and refuses headers that
-// are too large. It runs before the routing, so that every answer has both.
-// A panic ends in a refusal like any other error: net/http would drop the
-// connection, and the caller would have neither outcome nor request id.
+// are too large. It runs before routing, so that every response has both
+// headers. It turns a panic into a refusal: net/http would close the
+// connection, and the caller would get neither an outcome nor a request id.
 func (s *Server) identify(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c *echo.Context) (err error) {
 		defer func() {
@@ -45,21 +45,21 @@
 				err = outcome.UnknownError(outcome.ReasonInternal, "an internal error; the request may have been executed")
 			}
 		}()
-		// An earlier request on this connection may have left a deadline.
+		// An earlier request on this connection may have set a deadline.
 		_ = http.NewResponseController(c.Response()).SetWriteDeadline(time.Time{})
 		id := rand.Text()
 		c.Set(contextID, id)
 		h := c.Response().Header()
 		h.Set(HeaderRequestID, id)
 		h.Set(HeaderHost, string(s.View.Self().ID))
-		if headerSize(c.Request()) > maxHeader {
+		if headersSize(c.Request()) > maxHeader {
 			return outcome.NotRunError(outcome.ReasonHeadersTooLarge, "the headers exceed 32 KiB")
 		}
 		return next(c)
 	}
 }
 
-func headerSize(r *http.Request) int {
+func headersSize(r *http.Request) int {
 	size := len(r.RequestURI)
 	for name, values := range r.Header {
 		for _, v := range values {
@@ -69,14 +69,14 @@
 	return size
 }
 
-// admit refuses what this host may not take, and finds the account.
+// admit refuses requests that this host can't accept, and finds the account.
 func (s *Server) admit(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c *echo.Context) error {
-		// A leaving daemon ends when nothing is in progress, so a request
-		// counts from before it is found admissible.
+		// A leaving daemon terminates once no request is in progress, so a
+		// request counts before it is admitted.
 		n := s.inProgress.Add(1)
 		defer s.inProgress.Add(-1)
-		if refusal := s.refuseAll(n); refusal != nil {
+		if refusal := s.hostRefusal(n); refusal != nil {
 			return refusal
 		}
 		a, t := s.accounts.find(bearer(c.Request()))
@@ -92,8 +92,9 @@
 	}
 }
 
-// refuseAll returns why this host takes no work at all, or nil.
-func (s *Server) refuseAll(inProgress int64) *outcome.Refusal {
+// hostRefusal returns the refusal if this host accepts no requests at all, or
+// nil.
+func (s *Server) hostRefusal(inProgress int64) *outcome.Refusal {
 	self := s.View.Self()
 	var refusal *outcome.Refusal
 	switch {
--- a/internal/caller/bench_test.go
+++ b/internal/caller/bench_test.go
@@ -14,11 +14,12 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// streamTokens is the length of each answer of the benchmark's engine.
+// streamTokens is the number of tokens in each response of the benchmark's
+// engine.
 const streamTokens = 500
 
-// tokenEngine answers as fast as it can, with one write and flush a token as
-// engines do.
+// tokenEngine responds as fast as it can, with one write and flush per token,
+// as engines do.
 func tokenEngine(tokens int) http.Handler {
 	var event []byte
 	event = fmt.Appendf(event, "data: %s\n\n", `{"id":"chatcmpl-7QZ","model":"assistant","created":1764720000,"choices":[{"index":0,"delta":{"content":"w17-3fa "},"finish_reason":null}]}`)
@@ -36,7 +37,7 @@
 	})
 }
 
-// startBench runs one daemon before one engine and returns the URLs of both.
+// startBench starts a daemon with one engine and returns the URLs of both.
 func startBench(b *testing.B, tokens int) (daemon, engine string) {
 	b.Helper()
 	server := httptest.NewServer(tokenEngine(tokens))
@@ -50,7 +51,7 @@
 
 var benchBody = []byte(`{"model":"assistant","stream":true,"messages":[{"role":"user","content":"Break down the script."}]}`)
 
-// benchClient keeps enough connections for all parallel callers.
+// benchClient keeps enough idle connections for all parallel callers.
 var benchClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}, Timeout: time.Minute}
 
 func streamOnce(b *testing.B, url string) {
@@ -72,8 +73,8 @@
 	}
 }
 
-// BenchmarkStreamedTokens measures the tokens a second through one daemon,
-// with engine and callers in the same process.
+// BenchmarkStreamedTokens measures the tokens per second through one daemon,
+// with the engine and the callers in the same process.
 func BenchmarkStreamedTokens(b *testing.B) {
 	daemon, engine := startBench(b, streamTokens)
 	for _, c := range []struct{ name, url string }{{"direct", engine}, {"daemon", daemon}} {
@@ -90,8 +91,8 @@
 	}
 }
 
-// BenchmarkShortAnswer measures one answer of one token at a time, so that the
-// difference of the two is what the daemon adds.
+// BenchmarkShortAnswer measures sequential responses of one token. The
+// difference between its two results is the time that the daemon adds.
 func BenchmarkShortAnswer(b *testing.B) {
 	daemon, engine := startBench(b, 1)
 	for _, c := range []struct{ name, url string }{{"direct", engine}, {"daemon", daemon}} {
--- a/internal/caller/call.go
+++ b/internal/caller/call.go
@@ -18,11 +18,11 @@
 
 const servicesPath = "/v1/services/"
 
-// finishTimeout bounds how long an answer waits to be stored for repeats. What
-// takes longer is stored in the background.
-const finishTimeout = time.Second
+// claimFinishTimeout bounds how long a response is held back until it is stored
+// for repeats. If storing takes longer, it continues in the background.
+const claimFinishTimeout = time.Second
 
-// call passes a request to a plain service.
+// call forwards a request to a plain service.
 func (s *Server) call(c *echo.Context) error {
 	key, err := idempotencyKey(c.Request())
 	if err != nil {
@@ -37,16 +37,17 @@
 		return err
 	}
 	record := s.Attainment.Begin(call.Class)
-	resp, err := s.run(c.Request().Context(), call, key)
+	resp, err := s.dispatchCall(c.Request().Context(), call, key)
 	record.End(err)
 	if err != nil {
 		return err
 	}
-	s.boundAnswer(c)
-	return answer(c, resp)
+	s.setWriteDeadline(c)
+	return writeResponse(c, resp)
 }
 
-// idempotencyKey returns the key of a request, or nothing if it has none.
+// idempotencyKey returns the idempotency key of a request, or an empty string
+// if it has none.
 func idempotencyKey(r *http.Request) (string, error) {
 	keys := r.Header.Values(HeaderIdempotencyKey)
 	switch {
@@ -60,11 +61,11 @@
 	return keys[0], nil
 }
 
-func (s *Server) run(ctx context.Context, call *dispatch.Call, key string) (*service.Response, error) {
+func (s *Server) dispatchCall(ctx context.Context, call *dispatch.Call, key string) (*service.Response, error) {
 	if key == "" {
 		return s.Dispatcher.Call(ctx, call)
 	}
-	return s.claimed(ctx, call, key)
+	return s.callWithClaim(ctx, call, key)
 }
 
 func parseCall(c *echo.Context, body []byte) (*dispatch.Call, error) {
@@ -83,16 +84,17 @@
 		Account: account(c).Name,
 		Class:   cl,
 		Pool:    table.Pool(name),
-		Request: service.Request{ID: requestID(c), Method: r.Method, Path: target, Header: forwarded(r.Header), Body: body},
+		Request: service.Request{ID: requestID(c), Method: r.Method, Path: target, Header: forwardedHeaders(r.Header), Body: body},
 	}, nil
 }
 
-// claimed runs a call under an idempotency key. Once claimed, the call is not
-// cancelled when its caller goes, so that a repeat finds its answer.
-func (s *Server) claimed(ctx context.Context, call *dispatch.Call, key string) (*service.Response, error) {
+// callWithClaim runs a call under an idempotency key. Once the key is claimed,
+// the call is not cancelled when its caller disconnects, so that a repeat gets
+// the stored response.
+func (s *Server) callWithClaim(ctx context.Context, call *dispatch.Call, key string) (*service.Response, error) {
 	scope := claim.Scope{Account: call.Account, Service: call.Pool, Key: key}
-	bound := slices.Concat([]byte(call.Request.Method+" "+call.Request.Path+"\n"), call.Request.Body)
-	c, err := s.Claims.Begin(ctx, scope, bound)
+	boundRequest := slices.Concat([]byte(call.Request.Method+" "+call.Request.Path+"\n"), call.Request.Body)
+	c, err := s.Claims.Begin(ctx, scope, boundRequest)
 	if err != nil {
 		return nil, err
 	}
@@ -101,14 +103,15 @@
 	}
 	ctx = context.WithoutCancel(ctx)
 	resp, err := s.Dispatcher.Call(ctx, call)
-	finishCtx, cancel := context.WithTimeout(ctx, finishTimeout)
+	finishCtx, cancel := context.WithTimeout(ctx, claimFinishTimeout)
 	defer cancel()
-	s.settle(finishCtx, c, resp, err)
+	s.finishClaim(finishCtx, c, resp, err)
 	return resp, err
 }
 
-// settle ends a claim by how its call ended.
-func (s *Server) settle(ctx context.Context, c *claim.Claim, resp *service.Response, callErr error) {
+// finishClaim completes or releases a claim depending on the outcome of the
+// call.
+func (s *Server) finishClaim(ctx context.Context, c *claim.Claim, resp *service.Response, callErr error) {
 	switch {
 	case callErr == nil:
 		s.Claims.Finish(ctx, c, claim.Done, resp)
@@ -119,25 +122,26 @@
 	}
 }
 
-// replayed returns a stored answer, marked as one.
+// replayed returns a stored response marked as replayed.
 func replayed(resp *service.Response) *service.Response {
 	return &service.Response{Status: resp.Status, Header: resp.Header, Body: resp.Body, Replayed: true}
 }
 
-// boundAnswer sets the deadline by which the caller must have taken a whole
-// answer.
-func (s *Server) boundAnswer(c *echo.Context) {
+// setWriteDeadline sets the deadline for the caller to receive a whole
+// response.
+func (s *Server) setWriteDeadline(c *echo.Context) {
 	_ = http.NewResponseController(c.Response()).SetWriteDeadline(time.Now().Add(s.StallTimeout))
 }
 
-// answer passes a service's answer on. The service can't set this system's
-// own headers, so that its answer can't claim another outcome or host.
-func answer(c *echo.Context, resp *service.Response) error {
+// writeResponse forwards a service's response. It drops the service's values
+// for this system's own headers, so that the response can't claim another
+// outcome or host.
+func writeResponse(c *echo.Context, resp *service.Response) error {
 	w := c.Response()
 	if resp.Replayed {
 		w.Header().Set(HeaderReplayed, "true")
 	}
-	for name, values := range withoutOwn(resp.Header) {
+	for name, values := range withoutOwnHeaders(resp.Header) {
 		w.Header()[name] = values
 	}
 	w.Header().Set(HeaderOutcome, string(outcome.Done))
--- a/internal/caller/chat.go
+++ b/internal/caller/chat.go
@@ -17,13 +17,14 @@
 )
 
 const (
-	// bytesPerToken is a rough length of a token in prompts.
+	// bytesPerToken is an approximate length of a prompt's token.
 	bytesPerToken = 4
-	// prefixBytes is how much of the prompt decides cache affinity.
+	// prefixBytes is the length of the prompt's beginning that determines
+	// prefix affinity.
 	prefixBytes = 1024
 )
 
-// chatBody is what the router reads of a chat request.
+// chatBody has the fields of a chat request that the router uses.
 type chatBody struct {
 	Model         table.Pool      `json:"model"`
 	Stream        bool            `json:"stream"`
@@ -36,7 +37,7 @@
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// chat answers a chat request.
+// chat handles a chat request.
 func (s *Server) chat(c *echo.Context) error {
 	body, err := s.readBody(c)
 	if err != nil {
@@ -50,7 +51,7 @@
 	if b.Stream {
 		err = s.streamChat(c, chat, record, b.StreamOptions.IncludeUsage)
 	} else {
-		err = s.wholeChat(c, chat, record)
+		err = s.completeChat(c, chat, record)
 	}
 	record.End(err)
 	return err
@@ -89,7 +90,7 @@
 	}, &b, nil
 }
 
-// streamChat passes events on as they come. Nothing is written before the
+// streamChat forwards events as they arrive. Nothing is written before the
 // first event, so that a refusal can still have its own status.
 func (s *Server) streamChat(c *echo.Context, chat *dispatch.Chat, record *attainment.Request, usage bool) error {
 	w := newEventWriter(c.Response(), s.StallTimeout)
@@ -100,17 +101,18 @@
 		if chunk.Text() != "" {
 			record.Token()
 		}
-		return w.event(data)
+		return w.writeEvent(data)
 	})
 	switch {
 	case err == nil:
-		return w.end()
-	case w.begun:
-		return w.breakOff(err)
+		return w.writeEndMarker()
+	case w.started:
+		return w.writeError(err)
 	}
 	return err
 }
 
-// isUsage tells whether a chunk only counts the tokens. Engines are always
-// asked for it; callers who did not ask don't expect a chunk without choices.
+// isUsage reports whether a chunk only has token counts. Engines are always
+// asked for such a chunk; callers that did not ask for it may not expect a
+// chunk without choices.
 func isUsage(chunk *engine.Chunk) bool { return chunk.Usage != nil && len(chunk.Choices) == 0 }
--- a/internal/caller/gather.go
+++ b/internal/caller/completion.go
@@ -14,26 +14,28 @@
 	"github.com/beechhead/beechhead/internal/outcome"
 )
 
-// gathered is a whole answer in OpenAI's form, put together from the chunks
-// of a stream. What the router does not know is kept as the engine sent it.
-type gathered struct {
-	// top has the members beside the choices, as the last chunk had them.
+// completion is a complete response in OpenAI's format, assembled from the
+// chunks of a stream. Members that the router does not know are kept as the
+// engine sent them.
+type completion struct {
+	// top has the members other than the choices, as in the last chunk that had
+	// them.
 	top map[string]json.RawMessage
-	// choice has the members of the only choice beside its message.
+	// choice has the members of the only choice, without its message.
 	choice  map[string]any
 	message map[string]any
 }
 
-func newGathered() *gathered {
-	return &gathered{
+func newCompletion() *completion {
+	return &completion{
 		top:     map[string]json.RawMessage{},
 		choice:  map[string]any{"index": 0, "finish_reason": nil},
 		message: map[string]any{"role": "assistant", "content": ""},
 	}
 }
 
-// add takes one chunk.
-func (g *gathered) add(data []byte) error {
+// addChunk adds one chunk.
+func (g *completion) addChunk(data []byte) error {
 	var top map[string]json.RawMessage
 	if err := json.Unmarshal(data, &top); err != nil {
 		return errors.Wrap(engine.ErrGarbage, err.Error())
@@ -45,22 +47,22 @@
 		}
 	}
 	delete(top, "choices")
-	keepKnown(g.top, top)
+	setNonNull(g.top, top)
 	if len(choices) == 0 {
 		return nil
 	}
 	delta, _ := choices[0]["delta"].(map[string]any)
 	delete(choices[0], "delta")
-	// The text is joined apart, so that a long answer is not copied with each
-	// piece.
+	// The text is concatenated separately, so that a long response is not
+	// copied for every chunk.
 	delete(delta, "content")
 	merge(g.choice, choices[0])
 	merge(g.message, delta)
 	return nil
 }
 
-// keepKnown sets the members that are not null.
-func keepKnown(into, from map[string]json.RawMessage) {
+// setNonNull copies the members that are not null.
+func setNonNull(into, from map[string]json.RawMessage) {
 	for name, raw := range from {
 		if string(raw) != "null" {
 			into[name] = raw
@@ -68,19 +70,19 @@
 	}
 }
 
-// appended are the members of a delta that are pieces of a text; all other
-// texts are whole and replace each other.
-var appended = map[string]bool{"content": true, "refusal": true, "reasoning": true, "reasoning_content": true, "arguments": true}
+// concatenated are the members of a delta that are fragments of a text; other
+// strings are complete and replace the previous value.
+var concatenated = map[string]bool{"content": true, "refusal": true, "reasoning": true, "reasoning_content": true, "arguments": true}
 
-// merge adds a delta: pieces of text are joined, objects are merged, and the
-// items of lists are merged by their index, as tool calls are.
+// merge applies a delta: it concatenates text fragments, merges objects, and
+// merges the items of lists by their index, as tool calls require.
 func merge(into, delta map[string]any) {
 	for name, v := range delta {
 		switch v := v.(type) {
 		case nil:
 		case string:
 			old, _ := into[name].(string)
-			if appended[name] {
+			if concatenated[name] {
 				v = old + v
 			}
 			into[name] = v
@@ -120,13 +122,13 @@
 			return into
 		}
 	}
-	fresh := map[string]any{}
-	merge(fresh, object)
-	return append(into, fresh)
+	added := map[string]any{}
+	merge(added, object)
+	return append(into, added)
 }
 
-// answer returns the whole answer.
-func (g *gathered) answer() (data []byte, err error) {
+// encode returns the complete response as JSON.
+func (g *completion) encode() (data []byte, err error) {
 	if calls, ok := g.message["tool_calls"].([]any); ok {
 		withoutIndex(calls)
 		if g.message["content"] == "" {
@@ -143,7 +145,7 @@
 	return json.Marshal(g.top)
 }
 
-// withoutIndex removes the numbers that only the chunks of a stream have.
+// withoutIndex removes the indexes that only streamed chunks have.
 func withoutIndex(calls []any) {
 	for _, call := range calls {
 		if o, ok := call.(map[string]any); ok {
@@ -152,26 +154,26 @@
 	}
 }
 
-// wholeChat gathers the events into one answer.
-func (s *Server) wholeChat(c *echo.Context, chat *dispatch.Chat, record *attainment.Request) error {
-	g := newGathered()
+// completeChat assembles the events into one response.
+func (s *Server) completeChat(c *echo.Context, chat *dispatch.Chat, record *attainment.Request) error {
+	g := newCompletion()
 	var text strings.Builder
 	err := s.Dispatcher.Chat(c.Request().Context(), chat, func(data []byte, chunk *engine.Chunk) error {
 		if piece := chunk.Text(); piece != "" {
 			record.Token()
 			text.WriteString(piece)
 		}
-		return g.add(data)
+		return g.addChunk(data)
 	})
 	if err != nil {
 		return err
 	}
 	g.message["content"] = text.String()
-	data, err := g.answer()
+	data, err := g.encode()
 	if err != nil {
 		return err
 	}
 	c.Response().Header().Set(HeaderOutcome, string(outcome.Done))
-	s.boundAnswer(c)
+	s.setWriteDeadline(c)
 	return c.JSONBlob(http.StatusOK, data)
 }
--- a/internal/caller/gather_test.go
+++ b/internal/caller/completion_test.go
@@ -10,27 +10,28 @@
 	"github.com/beechhead/beechhead/internal/engine"
 )
 
-// gatherCase is a stream's chunks and the whole answer that they make.
-type gatherCase struct {
+// completionCase has the chunks of a stream and the complete response assembled
+// from them.
+type completionCase struct {
 	Name   string   `json:"name"`
 	Chunks []string `json:"chunks"`
 	Whole  any      `json:"whole"`
 }
 
-// A caller that asks for a whole answer gets all that the engine streamed, not
-// only its text.
-func TestWholeAnswerHasEveryPart(t *testing.T) {
+// A caller that requests a response without streaming gets everything that the
+// engine streamed, not only the text.
+func TestCompletionHasEveryPart(t *testing.T) {
 	data, err := os.ReadFile("testdata/gather.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var cases []gatherCase
+	var cases []completionCase
 	if err := json.Unmarshal(data, &cases); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range cases {
 		t.Run(c.Name, func(t *testing.T) {
-			got := gatherAll(t, c.Chunks)
+			got := assemble(t, c.Chunks)
 			if !reflect.DeepEqual(got, c.Whole) {
 				t.Errorf("got  %v\nwant %v", got, c.Whole)
 			}
@@ -38,9 +39,9 @@
 	}
 }
 
-func gatherAll(t *testing.T, chunks []string) (whole any) {
+func assemble(t *testing.T, chunks []string) (whole any) {
 	t.Helper()
-	g := newGathered()
+	g := newCompletion()
 	var text strings.Builder
 	for _, one := range chunks {
 		chunk, err := engine.ParseChunk([]byte(one))
@@ -48,12 +49,12 @@
 			t.Fatal(err)
 		}
 		text.WriteString(chunk.Text())
-		if err := g.add([]byte(one)); err != nil {
+		if err := g.addChunk([]byte(one)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	g.message["content"] = text.String()
-	data, err := g.answer()
+	data, err := g.encode()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/caller/gone_test.go
+++ b/internal/caller/disconnect_test.go
@@ -13,9 +13,9 @@
 	"github.com/beechhead/beechhead/internal/standin"
 )
 
-// A caller closes its connection in the middle of a long answer. The engine
-// sees the request cancelled, and the tokens so far are counted as wasted.
-func TestGoneCallerIsCancelledAndCounted(t *testing.T) {
+// A caller disconnects while it receives a long response. The request must be
+// cancelled at the engine, and the tokens so far must be counted as wasted.
+func TestDisconnectedCallerIsCancelledAndCounted(t *testing.T) {
 	s := startSite(t, standin.SiteConfig{Daemons: 1, Engines: 1, Zones: 1, Speed: standin.EngineSpeed{Concurrency: 1, PromptToken: time.Nanosecond, Token: time.Millisecond}})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -41,7 +41,7 @@
 	})
 }
 
-// classStatus is the part of a status that the tests read.
+// classStatus has the fields of a class' status that the tests read.
 type classStatus struct {
 	Running int64 `json:"running"`
 	Since   struct {
@@ -51,7 +51,7 @@
 	} `json:"since"`
 }
 
-// status is the part of a site's status that the tests read.
+// status has the fields of a site's status that the tests read.
 type status struct {
 	Classes   map[string]classStatus `json:"classes"`
 	Endpoints []struct {
@@ -91,12 +91,13 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Fatalf("%s did not come", what)
+	t.Fatalf("timed out waiting for %s", what)
 }
 
-// Two accounts use the same idempotency key for the same service and body.
-// Each gets its own execution: neither sees the other's claim or answer.
-func TestAccountsDoNotMeetInClaims(t *testing.T) {
+// Two accounts use the same idempotency key with the same service and body.
+// Each gets an execution of its own and sees neither the claim nor the response
+// of the other.
+func TestClaimsArePerAccount(t *testing.T) {
 	s := startSite(t, standin.SiteConfig{Daemons: 1, Engines: 1, Zones: 1, Speed: fastEngines})
 	const body = `{"booth":1}`
 	var answers []string
@@ -110,16 +111,16 @@
 		answers = append(answers, got.body)
 	}
 	if answers[0] == answers[1] || answers[0] != answers[2] {
-		t.Errorf("answers %q", answers)
+		t.Errorf("responses %q", answers)
 	}
 	if n := s.Service.Executions()[body]; n != 2 {
 		t.Errorf("executed %d times, want once for each account", n)
 	}
 }
 
-// A caller tries its key on the operators' API, where the table with all
-// accounts and the counters are.
-func TestCallersKeysDoNotOpenTheOperatorsAPI(t *testing.T) {
+// A caller uses its API key on the operators' API, which exposes the table with
+// all accounts and the metrics.
+func TestOperatorAPIRejectsCallerKeys(t *testing.T) {
 	s := startSite(t, standin.SiteConfig{Daemons: 1, Engines: 1, Zones: 1, Speed: fastEngines})
 	for _, path := range []string{"/v1/table", "/v1/status", "/v1/hosts", "/v1/table/history", "/metrics"} {
 		text := "GET " + path + " HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer studio-key\r\n\r\n"
--- a/internal/caller/event.go
+++ b/internal/caller/event.go
@@ -14,24 +14,25 @@
 type eventWriter struct {
 	w  http.ResponseWriter
 	rc *http.ResponseController
-	// stall bounds the time in which the caller must take what is written.
-	stall time.Duration
-	// bounded is when the connection's deadline was set last.
-	bounded time.Time
-	// begun is set once the status was sent.
-	begun bool
-	// buf is reused by each event.
+	// stallTimeout bounds the time in which the caller must receive what is
+	// written.
+	stallTimeout time.Duration
+	// deadlineSetAt is when the connection's write deadline was last set.
+	deadlineSetAt time.Time
+	// started is set once the response headers were sent.
+	started bool
+	// buf is reused for each event.
 	buf []byte
 }
 
 func newEventWriter(w http.ResponseWriter, stall time.Duration) *eventWriter {
-	return &eventWriter{w: w, rc: http.NewResponseController(w), stall: stall}
+	return &eventWriter{w: w, rc: http.NewResponseController(w), stallTimeout: stall}
 }
 
-// event writes one event and sends it at once.
-func (e *eventWriter) event(data []byte) error {
-	e.begin()
-	e.bound()
+// writeEvent writes an event and flushes it.
+func (e *eventWriter) writeEvent(data []byte) error {
+	e.writeHeader()
+	e.extendDeadline()
 	e.buf = append(e.buf[:0], "data: "...)
 	e.buf = append(e.buf, data...)
 	e.buf = append(e.buf, "\n\n"...)
@@ -41,24 +42,25 @@
 	return e.rc.Flush()
 }
 
-// bound moves the connection's write deadline on. A caller whose connection
-// has gone silent takes nothing and sends no end; without a deadline the write
-// would block, and the request would keep its place on the engine. Setting the
-// deadline costs more than reading the time, so a quarter of it may pass.
-func (e *eventWriter) bound() {
+// extendDeadline extends the connection's write deadline. If the caller's
+// connection stalls without being closed, a write without a deadline would
+// block and the request would keep its slot on the engine. Setting the deadline
+// costs more than reading the time, so it is extended only after a quarter of
+// the timeout.
+func (e *eventWriter) extendDeadline() {
 	now := time.Now()
-	if now.Sub(e.bounded) < e.stall/4 {
+	if now.Sub(e.deadlineSetAt) < e.stallTimeout/4 {
 		return
 	}
-	e.bounded = now
-	_ = e.rc.SetWriteDeadline(now.Add(e.stall))
+	e.deadlineSetAt = now
+	_ = e.rc.SetWriteDeadline(now.Add(e.stallTimeout))
 }
 
-func (e *eventWriter) begin() {
-	if e.begun {
+func (e *eventWriter) writeHeader() {
+	if e.started {
 		return
 	}
-	e.begun = true
+	e.started = true
 	h := e.w.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-store")
@@ -66,27 +68,29 @@
 	e.w.WriteHeader(http.StatusOK)
 }
 
-// end writes the end marker, which tells the caller that the answer is whole.
-func (e *eventWriter) end() error {
-	e.begin()
+// writeEndMarker writes the end marker, which tells the caller that the
+// response is complete.
+func (e *eventWriter) writeEndMarker() error {
+	e.writeHeader()
 	e.w.Header().Set(HeaderOutcome, string(outcome.Done))
-	if err := e.event([]byte(endMarker)); err != nil {
+	if err := e.writeEvent([]byte(endMarker)); err != nil {
 		return outcome.UnknownError(outcome.ReasonCallerGone, err.Error())
 	}
 	return nil
 }
 
-// breakOff ends a stream that can't be completed with an error event and
-// without the end marker, so that no caller takes it for a whole answer.
-func (e *eventWriter) breakOff(err error) error {
+// writeError ends a stream that can't be completed with an error event and
+// without the end marker, so that no caller treats it as complete.
+func (e *eventWriter) writeError(err error) error {
 	refusal := *outcome.FromError(err)
 	refusal.Outcome = outcome.Unknown
-	data, encodeErr := json.Marshal(detail(&refusal))
+	data, encodeErr := json.Marshal(newErrorBody(&refusal))
 	if encodeErr != nil {
 		return encodeErr
 	}
 	e.w.Header().Set(HeaderOutcome, string(refusal.Outcome))
-	// A caller that is gone needs no error event.
-	_ = e.event(data)
+	// A caller that has disconnected needs no error event, so a failure is
+	// ignored.
+	_ = e.writeEvent(data)
 	return &refusal
 }
--- a/internal/caller/forward.go
+++ b/internal/caller/forward.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// serviceTarget returns the service's name and the rest of the request's
-// target, byte for byte as the caller sent it. A target without a path after
-// the name is "/", as HTTP has no empty one.
+// serviceTarget returns the service's name and the rest of the request target,
+// byte for byte as the caller sent it. If no path follows the name, the path is
+// "/", since HTTP has no empty path.
 func serviceTarget(r *http.Request) (name, target string) {
 	_, rest, _ := strings.Cut(r.RequestURI, servicesPath)
 	end := strings.IndexAny(rest, "/?")
@@ -21,21 +21,21 @@
 	return rest[:end], rest[end:]
 }
 
-// headerPrefix is common to the headers between callers and this system.
+// headerPrefix is the prefix of the headers between callers and this system.
 const headerPrefix = "Beechhead-"
 
-// forwarded returns the headers that a service may see: the caller's key and
-// class are between the caller and this system.
-func forwarded(h http.Header) http.Header {
-	out := withoutOwn(h)
+// forwardedHeaders returns the headers that are forwarded to a service. The
+// caller's API key and class are only for this system.
+func forwardedHeaders(h http.Header) http.Header {
+	out := withoutOwnHeaders(h)
 	out.Del("Authorization")
-	// net/http has answered an expectation already.
+	// net/http has already handled the expectation.
 	out.Del("Expect")
 	return out
 }
 
-// withoutOwn returns a copy of the headers without this system's own.
-func withoutOwn(h http.Header) http.Header {
+// withoutOwnHeaders returns a copy of the headers without this system's own.
+func withoutOwnHeaders(h http.Header) http.Header {
 	out := make(http.Header, len(h))
 	for name, values := range h {
 		if !strings.HasPrefix(http.CanonicalHeaderKey(name), headerPrefix) {
--- a/internal/caller/list.go
+++ b/internal/caller/list.go
@@ -48,14 +48,14 @@
 	return c.JSON(http.StatusOK, list)
 }
 
-// addressList tells callers where to connect.
+// addressList has the addresses that callers should connect to.
 type addressList struct {
 	Addresses []string `json:"addresses"`
-	// LifetimeSeconds is how long the answer may be kept.
+	// LifetimeSeconds is how long callers may cache the list.
 	LifetimeSeconds int `json:"lifetimeSeconds"`
 }
 
-// addresses answers which addresses to use.
+// addresses lists the addresses for a zone, by default this host's.
 func (s *Server) addresses(c *echo.Context) error {
 	zone := c.QueryParam("zone")
 	if zone == "" {
--- a/internal/caller/passthrough_test.go
+++ b/internal/caller/passthrough_test.go
@@ -13,10 +13,10 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// passCase is a call of a plain service: what the caller sends, what the
-// service must see, what it replies, and what the caller must get. Lines end
-// in \n; values of one header are joined by |.
-type passCase struct {
+// passthroughCase is a call of a plain service: what the caller sends, what the
+// service must receive, its response, and what the caller must receive. Lines
+// end in \n; multiple values of a header are joined by |.
+type passthroughCase struct {
 	Name       string            `json:"name"`
 	Send       string            `json:"send"`
 	Seen       string            `json:"seen"`
@@ -30,7 +30,8 @@
 	Body       string            `json:"body"`
 }
 
-// rawService keeps what it was asked and replies with a text.
+// rawService records the request that it receives and writes reply to the
+// connection.
 type rawService struct {
 	mu     sync.Mutex
 	reply  string
@@ -56,14 +57,14 @@
 	_ = conn.Close()
 }
 
-// A call passes through byte for byte in both directions, but for what
-// concerns one connection only and what is between the caller and the router.
+// A call is forwarded byte for byte in both directions, except for hop-by-hop
+// headers and the headers between the caller and the router.
 func TestServiceCallsPassThrough(t *testing.T) {
 	raw := &rawService{}
 	server := httptest.NewServer(raw)
 	t.Cleanup(server.Close)
 	s := startSite(t, standin.SiteConfig{Daemons: 1, Engines: 1, Zones: 1, Speed: fastEngines, Table: func(tab *table.Table) { addRaw(tab, server.URL) }})
-	for _, c := range loadCases[passCase](t, "testdata/passthrough.json") {
+	for _, c := range loadCases[passthroughCase](t, "testdata/passthrough.json") {
 		t.Run(c.Name, func(t *testing.T) {
 			raw.mu.Lock()
 			raw.reply, raw.seen, raw.body, raw.header = crlf(c.Reply), "", "", nil
@@ -72,7 +73,7 @@
 			method, _, _ := strings.Cut(text, " ")
 			got := exchange(t, s.Settings[0].CallerAddress, text, false, method)
 			raw.check(t, c)
-			c.checkAnswer(t, got)
+			c.checkResponse(t, got)
 		})
 	}
 }
@@ -86,20 +87,20 @@
 	t.Accounts = append(t.Accounts, table.Account{Name: "raw", KeyHashes: []string{standin.KeyHash("raw-key")}, Classes: []table.ClassName{"raw"}})
 }
 
-func (s *rawService) check(t *testing.T, c passCase) {
+func (s *rawService) check(t *testing.T, c passthroughCase) {
 	t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.seen != c.Seen {
-		t.Errorf("the service saw %q, want %q", s.seen, c.Seen)
+		t.Errorf("the service received %q, want %q", s.seen, c.Seen)
 	}
 	if s.body != c.SeenBody {
-		t.Errorf("the service saw the body %q, want %q", s.body, c.SeenBody)
+		t.Errorf("the service received the body %q, want %q", s.body, c.SeenBody)
 	}
 	checkHeader(t, s.header, c.SeenHeader, c.Unseen)
 }
 
-func (c passCase) checkAnswer(t *testing.T, got answer) {
+func (c passthroughCase) checkResponse(t *testing.T, got response) {
 	t.Helper()
 	if got.status != c.Status || got.body != c.Body {
 		t.Errorf("status %d, body %q; want %d, %q", got.status, got.body, c.Status, c.Body)
--- a/internal/caller/contract_test.go
+++ b/internal/caller/refusal_test.go
@@ -17,22 +17,22 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// refusalCase is a request that must be refused, with the form of the refusal.
+// refusalCase is a request that must be refused, and the expected refusal.
 type refusalCase struct {
 	Name   string            `json:"name"`
 	Method string            `json:"method"`
 	Path   string            `json:"path"`
 	Header map[string]string `json:"header"`
-	// Key is the API key; absent is the studio's.
+	// Key is the API key; if absent, the studio's key is used.
 	Key  *string `json:"key"`
 	Body string  `json:"body"`
-	// The sizes add as many bytes as they say.
+	// The sizes are the number of bytes to add to the respective part.
 	BodyBytes   int `json:"bodyBytes"`
 	HeaderBytes int `json:"headerBytes"`
 	QueryBytes  int `json:"queryBytes"`
 	KeyBytes    int `json:"keyBytes"`
-	// LengthAdded makes the announced length exceed the body, whose sender
-	// then breaks off.
+	// LengthAdded makes Content-Length exceed the body, after which the sender
+	// closes its side of the connection.
 	LengthAdded int                  `json:"lengthAdded"`
 	Faults      standin.EngineFaults `json:"faults"`
 
@@ -40,15 +40,15 @@
 	Reason     string `json:"reason"`
 	Outcome    string `json:"outcome"`
 	RetryAfter string `json:"retryAfter"`
-	// Bare says that net/http refuses before the request can be read.
+	// Bare means that net/http refuses the request before it can be read.
 	Bare bool `json:"bare"`
-	// Broken says that the stream had begun, so that the refusal is its last
+	// Broken means that the stream had begun, so that the refusal is its last
 	// event.
 	Broken bool `json:"broken"`
 }
 
-// Every wrong request and every wrong answer of an engine gets a clear
-// refusal with the right outcome, and the host serves on.
+// Every invalid request and every invalid response of an engine gets a refusal
+// with the right outcome, and the host continues to serve requests.
 func TestRefusals(t *testing.T) {
 	s := startSite(t, standin.SiteConfig{Daemons: 1, Engines: 2, Zones: 1, Speed: fastEngines, Table: addOnce})
 	address := s.Settings[0].CallerAddress
@@ -59,7 +59,7 @@
 			checkRefusal(t, c, exchange(t, address, c.text(), c.LengthAdded > 0, c.Method))
 		})
 		if good := exchange(t, address, goodChat, false, http.MethodPost); good.status != http.StatusOK {
-			t.Fatalf("after %q a good request gets %d: %s", c.Name, good.status, good.body)
+			t.Fatalf("after %q a valid request gets status %d: %s", c.Name, good.status, good.body)
 		}
 	}
 }
@@ -69,7 +69,7 @@
 var goodChat = fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\nAuthorization: bearer studio-key\r\n"+
 	"Content-Length: %d\r\n\r\n%s", len(goodBody), goodBody)
 
-// text returns the request as it goes over the wire.
+// text returns the request as it is sent over the connection.
 func (c *refusalCase) text() string {
 	key, body := standin.StudioKey, c.Body+strings.Repeat("x", c.BodyBytes)
 	if c.Key != nil {
@@ -97,7 +97,7 @@
 	return b.String()
 }
 
-// refusalBody is OpenAI's shape of an error.
+// refusalBody is the format of OpenAI's errors.
 type refusalBody struct {
 	Error struct {
 		Message string `json:"message"`
@@ -107,7 +107,7 @@
 	} `json:"error"`
 }
 
-func checkRefusal(t *testing.T, c refusalCase, got answer) {
+func checkRefusal(t *testing.T, c refusalCase, got response) {
 	t.Helper()
 	body := got.body
 	if got.status != c.Status {
@@ -116,16 +116,16 @@
 	if c.Bare {
 		return
 	}
-	said := got.header.Get("Beechhead-Outcome")
+	reported := got.header.Get("Beechhead-Outcome")
 	if c.Broken {
-		said = got.trailer.Get("Beechhead-Outcome")
+		reported = got.trailer.Get("Beechhead-Outcome")
 		if strings.Contains(body, "[DONE]") {
-			t.Error("a broken stream has an end marker")
+			t.Error("a truncated stream has an end marker")
 		}
 		body = body[strings.LastIndex(body, "data: ")+len("data: "):]
 	}
-	if said != c.Outcome {
-		t.Errorf("outcome %q, want %q", said, c.Outcome)
+	if reported != c.Outcome {
+		t.Errorf("outcome %q, want %q", reported, c.Outcome)
 	}
 	for _, name := range []string{"Beechhead-Request-Id", "Beechhead-Host"} {
 		if got.header.Get(name) == "" {
@@ -143,15 +143,15 @@
 		t.Errorf("reason %q, want %q: %s", r.Error.Code, c.Reason, body)
 	}
 	if r.Error.Message == "" || r.Error.Type == "" || r.Error.Outcome != c.Outcome {
-		t.Errorf("incomplete: %s", body)
+		t.Errorf("incomplete refusal: %s", body)
 	}
 }
 
-// fastEngines answer without delay.
+// fastEngines is the speed of engines that respond without delay.
 var fastEngines = standin.EngineSpeed{Concurrency: 8, PromptToken: time.Nanosecond, Token: time.Nanosecond}
 
-// addOnce adds a class whose requests are sent once, with a short target, so
-// that one attempt shows.
+// addOnce adds a class with a short target, whose requests are sent only once,
+// so that the result of a single attempt is visible.
 func addOnce(t *table.Table) {
 	t.Classes = append(t.Classes, table.Class{
 		Name: "once", Weight: 1, Pools: []table.Pool{standin.SampleModel},
@@ -179,19 +179,19 @@
 	return s
 }
 
-// answer is a response that was read whole.
-type answer struct {
+// response is a response that was read completely.
+type response struct {
 	status  int
 	header  http.Header
 	trailer http.Header
 	body    string
-	// closed says that the connection is not kept.
+	// closed reports whether the server closes the connection.
 	closed bool
 }
 
-// exchange sends a request as text and reads the answer. With breakOff the
-// sender ends its half of the connection after the text.
-func exchange(t *testing.T, address, text string, breakOff bool, method string) answer {
+// exchange sends a request given as text and reads the response. With
+// halfClose, the sender closes its side of the connection after the text.
+func exchange(t *testing.T, address, text string, halfClose bool, method string) response {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -200,9 +200,9 @@
 	defer func() { _ = conn.Close() }()
 	_ = conn.SetDeadline(time.Now().Add(20 * time.Second))
 	go func() {
-		// A server that refuses early need not read everything.
+		// A server that refuses a request early need not read all of it.
 		_, _ = io.WriteString(conn, text)
-		if tcp, ok := conn.(*net.TCPConn); ok && breakOff {
+		if tcp, ok := conn.(*net.TCPConn); ok && halfClose {
 			_ = tcp.CloseWrite()
 		}
 	}()
@@ -215,7 +215,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return answer{status: resp.StatusCode, header: resp.Header, trailer: resp.Trailer, body: string(body), closed: resp.Close}
+	return response{status: resp.StatusCode, header: resp.Header, trailer: resp.Trailer, body: string(body), closed: resp.Close}
 }
 
 func loadCases[T any](t *testing.T, file string) (cases []T) {
--- a/internal/caller/refuse.go
+++ b/internal/caller/refuse.go
@@ -11,7 +11,7 @@
 	"github.com/beechhead/beechhead/internal/outcome"
 )
 
-// errorBody is a refusal in the shape of OpenAI's errors.
+// errorBody is a refusal in the format of OpenAI's errors.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -24,7 +24,7 @@
 	Addresses []string        `json:"addresses,omitempty"`
 }
 
-// statuses has the HTTP status of each reason that has its own.
+// statuses has the HTTP status of the reasons that have one of their own.
 var statuses = map[outcome.Reason]int{
 	outcome.ReasonBadRequest:      http.StatusBadRequest,
 	outcome.ReasonTooLarge:        http.StatusRequestEntityTooLarge,
@@ -57,12 +57,13 @@
 	return http.StatusServiceUnavailable
 }
 
-// defaultRetryAfter is told where a repeat may help and nothing better is
+// defaultRetryAfter is sent if a repeat may succeed and no better value is
 // known.
 const defaultRetryAfter = time.Second
 
-// retryAfter returns when a repeat may help, or zero if it would not. What was
-// perhaps executed is not for a caller to repeat unasked.
+// retryAfter returns the time after which a repeat may succeed, or zero if
+// callers should not repeat the request by themselves. That is the case for a
+// request that may have been executed.
 func retryAfter(r *outcome.Refusal) time.Duration {
 	code := status(r)
 	temporary := code == http.StatusTooManyRequests || code == http.StatusServiceUnavailable
@@ -82,7 +83,7 @@
 	return "server_error"
 }
 
-func detail(r *outcome.Refusal) errorBody {
+func newErrorBody(r *outcome.Refusal) errorBody {
 	return errorBody{Error: errorDetail{
 		Message:   r.Message,
 		Type:      errorType(status(r)),
@@ -92,8 +93,8 @@
 	}}
 }
 
-// handleError writes a refusal. Headers that are already sent can't be
-// changed; a streamed answer then ends with an error event instead.
+// handleError writes a refusal. If the headers were already sent, they can't be
+// changed; a streamed response then ends with an error event instead.
 func (s *Server) handleError(c *echo.Context, err error) {
 	refusal := refusalOf(err)
 	s.Metrics.Refused(refusal.Reason)
@@ -111,11 +112,11 @@
 	case outcome.ReasonUnauthorized:
 		h.Set("WWW-Authenticate", "Bearer")
 	}
-	_ = c.JSON(status(refusal), detail(refusal))
+	_ = c.JSON(status(refusal), newErrorBody(refusal))
 }
 
-// refusalOf returns the refusal in err's chain. The router's own errors say
-// that there is no such path or method.
+// refusalOf returns the refusal in err's chain. It turns the router's own
+// errors into refusals for an unknown path or method.
 func refusalOf(err error) *outcome.Refusal {
 	switch echo.StatusCode(err) {
 	case http.StatusNotFound:
--- a/internal/caller/request.go
+++ b/internal/caller/request.go
@@ -13,7 +13,7 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// class returns the class that the caller asked for, or the account's default.
+// class returns the class that the caller requested, or the account's default.
 func class(c *echo.Context) (*table.Class, error) {
 	a := account(c)
 	name := table.ClassName(c.Request().Header.Get(HeaderClass))
@@ -32,8 +32,8 @@
 	return nil, outcome.NotRunError(outcome.ReasonClassForbidden, "the account may not use class "+string(name))
 }
 
-// readBody reads the whole body before anything is sent to an endpoint, so
-// that a caller that is slow or breaks off costs no endpoint's time.
+// readBody reads the whole body before anything is sent to an endpoint, so that
+// a caller that is slow or disconnects takes up no time of an endpoint.
 func (s *Server) readBody(c *echo.Context) ([]byte, error) {
 	rc := http.NewResponseController(c.Response())
 	_ = rc.SetReadDeadline(time.Now().Add(s.BodyTimeout))
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -1,5 +1,5 @@
-// Package caller is the front that client accounts talk to: an
-// OpenAI-compatible API, the plain services, and the list of addresses.
+// Package caller serves the API for client accounts: an OpenAI-compatible API,
+// the plain services, and the list of addresses.
 package caller
 
 import (
@@ -19,23 +19,23 @@
 	"github.com/beechhead/beechhead/internal/tablesync"
 )
 
-// Headers of the protocol.
+// Headers of the API.
 const (
 	HeaderClass          = "Beechhead-Class"
 	HeaderRequestID      = "Beechhead-Request-Id"
 	HeaderHost           = "Beechhead-Host"
 	HeaderOutcome        = "Beechhead-Outcome"
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderReplayed marks the stored answer of an earlier execution.
+	// HeaderReplayed marks the stored response of an earlier execution.
 	HeaderReplayed = "Beechhead-Replayed"
 )
 
-// Limits against callers that send too much or too slowly.
+// Limits for callers that send too much or too slowly.
 const (
 	maxBody = 8 << 20
 	// maxHeader bounds the headers, in bytes. net/http's own limit is higher,
-	// so that the refusal can have the form of all others; beyond that limit
-	// net/http answers with a bare 431 and closes.
+	// so that the refusal can have the same format as all others; beyond that
+	// limit, net/http responds with a plain 431 and closes the connection.
 	maxHeader         = 32 << 10
 	maxHeaderRead     = 4 * maxHeader
 	maxIdempotencyKey = 255
@@ -50,7 +50,7 @@
 	DefaultMaxRequests  = 20_000
 )
 
-// Server answers callers. All fields must be set before it serves.
+// Server serves callers. All exported fields must be set before it serves.
 type Server struct {
 	Logger     *slog.Logger
 	Keeper     *tablesync.Keeper
@@ -59,16 +59,16 @@
 	Claims     *claim.Store
 	Metrics    *metric.Registry
 	Attainment *attainment.Recorder
-	// BodyTimeout bounds the time in which a body must come.
+	// BodyTimeout bounds the time for receiving a request body.
 	BodyTimeout time.Duration
-	// StallTimeout bounds the time for which a caller may take nothing of its
-	// stream, or not all of a whole answer.
+	// StallTimeout bounds the time for which a caller may receive nothing of a
+	// stream, and the time for receiving the whole of any other response.
 	StallTimeout time.Duration
 	// MaxRequests bounds the requests in progress on this host.
 	MaxRequests int64
 
 	accounts accountIndex
-	// inProgress counts running requests.
+	// inProgress counts the requests in progress.
 	inProgress atomic.Int64
 }
 
@@ -85,8 +85,8 @@
 	return e
 }
 
-// NewHTTPServer returns a server with limits against slow and oversized
-// requests. It serves with TLS if tlsConfig is not nil.
+// NewHTTPServer returns a server with limits for slow and oversized requests.
+// It uses TLS if tlsConfig is not nil.
 func NewHTTPServer(handler http.Handler, tlsConfig *tls.Config) *http.Server {
 	return &http.Server{
 		Handler:           handler,
@@ -97,5 +97,5 @@
 	}
 }
 
-// InProgress returns the number of running requests.
+// InProgress returns the number of requests in progress.
 func (s *Server) InProgress() int64 { return s.inProgress.Load() }
--- a/internal/caller/slow_test.go
+++ b/internal/caller/slow_test.go
@@ -21,8 +21,9 @@
 	"github.com/beechhead/beechhead/internal/tablesync"
 )
 
-// startFront serves callers without anything behind it, with short deadlines.
-func startFront(t *testing.T) (address string, s *caller.Server, view *membership.View, viewClock *clockwork.FakeClock) {
+// startServer starts a server for callers without endpoints or other daemons,
+// with short deadlines.
+func startServer(t *testing.T) (address string, s *caller.Server, view *membership.View, viewClock *clockwork.FakeClock) {
 	t.Helper()
 	clock, metrics := clockwork.NewRealClock(), metric.NewRegistry()
 	viewClock = clockwork.NewFakeClock()
@@ -39,7 +40,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The sample's classes need pools, which only endpoints make.
+	// The classes of the sample table require pools, which are defined by
+	// endpoints only.
 	data = []byte(strings.Replace(string(data), `"endpoints":null`, sampleEndpoints, 1))
 	if err := keeper.Adopt(1, data); err != nil {
 		t.Fatal(err)
@@ -58,10 +60,10 @@
 	`{"name":"e","kind":"engine","pool":"assistant","url":"http://127.0.0.1:1","concurrency":1},` +
 	`{"name":"s","kind":"service","pool":"booking","url":"http://127.0.0.1:1","concurrency":1}]`
 
-// A caller opens a connection and sends its headers drop by drop. It is cut
-// off, so that it can't hold the host's connections.
-func TestSlowHeadersAreCutOff(t *testing.T) {
-	address, _, _, _ := startFront(t)
+// A caller sends its headers very slowly. It must be disconnected, so that it
+// can't use up the host's connections.
+func TestSlowHeadersAreDisconnected(t *testing.T) {
+	address, _, _, _ := startServer(t)
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -74,10 +76,10 @@
 	}
 }
 
-// A caller sends its body drop by drop. It is told that the request did not
-// run, and the connection is closed.
+// A caller sends its body very slowly. It is told that the request did not run,
+// and the connection is closed.
 func TestSlowBodiesAreRefused(t *testing.T) {
-	address, _, _, _ := startFront(t)
+	address, _, _, _ := startServer(t)
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -96,16 +98,17 @@
 	}
 	_ = resp.Body.Close()
 	c := refusalCase{Status: http.StatusRequestTimeout, Reason: "bodyTimeout", Outcome: "notRun"}
-	checkRefusal(t, c, answer{status: resp.StatusCode, header: resp.Header, body: string(body)})
+	checkRefusal(t, c, response{status: resp.StatusCode, header: resp.Header, body: string(body)})
 	if _, err := r.ReadByte(); err == nil {
 		t.Error("the connection is still open")
 	}
 }
 
-// One request holds the host's only place with its slow body; the next one is
-// told other addresses and when to come back, at once.
-func TestOverloadedHostNamesOthers(t *testing.T) {
-	address, s, _, _ := startFront(t)
+// A request with a slow body uses up the host's request limit of one. The next
+// request is refused immediately, with the addresses of other hosts and a
+// Retry-After header.
+func TestOverloadedHostReturnsOtherAddresses(t *testing.T) {
+	address, s, _, _ := startServer(t)
 	s.BodyTimeout = 10 * time.Second
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -121,11 +124,12 @@
 	checkAddresses(t, got, "10.0.0.2:7400")
 }
 
-// A host that has left the list of addresses still gets a request from a
-// caller with an old answer. The refusal names the other hosts and closes the
-// connection, so that the caller's pool does not come back.
-func TestLeavingHostNamesOthers(t *testing.T) {
-	address, _, view, clock := startFront(t)
+// A host that was removed from the list of addresses gets a request from a
+// caller with an outdated list. The refusal has the addresses of the other
+// hosts, and the connection is closed so that the caller's connection pool does
+// not reuse it.
+func TestLeavingHostReturnsOtherAddresses(t *testing.T) {
+	address, _, view, clock := startServer(t)
 	view.UpdateSelf(func(h *membership.Host) { h.State = membership.Leaving })
 	early := exchange(t, address, "GET /v1/models HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer studio-key\r\n\r\n", false, http.MethodGet)
 	if early.status != http.StatusOK || !early.closed {
@@ -136,11 +140,11 @@
 	checkRefusal(t, refusalCase{Status: http.StatusServiceUnavailable, Reason: "leaving", Outcome: "notRun", RetryAfter: "1"}, got)
 	checkAddresses(t, got, "10.0.0.2:7400")
 	if !got.closed {
-		t.Error("the connection is kept")
+		t.Error("the connection is kept open")
 	}
 }
 
-func checkAddresses(t *testing.T, got answer, want string) {
+func checkAddresses(t *testing.T, got response, want string) {
 	t.Helper()
 	var body struct {
 		Error struct {
--- a/internal/caller/stall_test.go
+++ b/internal/caller/stall_test.go
@@ -12,16 +12,16 @@
 	"github.com/go-faster/errors"
 )
 
-// A caller's connection goes silent in the middle of a stream: it takes
-// nothing any more and does not close. The writer gives up, so that the
-// request frees its place on the engine.
+// A caller's connection stalls in the middle of a stream: it receives nothing
+// and is not closed. The write must time out, so that the request releases its
+// slot on the engine.
 func TestStalledCallerEndsTheStream(t *testing.T) {
 	ended := make(chan error, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		e := newEventWriter(w, 100*time.Millisecond)
 		data := make([]byte, 64<<10)
 		for {
-			if err := e.event(data); err != nil {
+			if err := e.writeEvent(data); err != nil {
 				ended <- err
 				return
 			}
--- a/internal/caller/status_test.go
+++ b/internal/caller/status_test.go
@@ -7,8 +7,9 @@
 	"github.com/beechhead/beechhead/internal/standin"
 )
 
-// An operator asks one daemon how a class does. The answer counts the
-// requests that entered at every daemon, and names a daemon that is gone.
+// An operator requests the status of a class from one daemon. The response has
+// the sum over all daemons that requests entered at, without a daemon that has
+// failed.
 func TestStatusSumsOverDaemons(t *testing.T) {
 	s := startSite(t, standin.SiteConfig{Daemons: 3, Engines: 1, Zones: 1, Speed: fastEngines})
 	for _, cfg := range s.Settings {
@@ -21,7 +22,8 @@
 	eventually(t, "the sum over the daemons that are left", func() bool { return classFigures(t, s)["slots"].Since.Answered == 2 })
 }
 
-// The endpoints come from the coordinators of their cells, each from one.
+// Each endpoint is reported by the coordinator of its cell, and by no other
+// daemon.
 func TestStatusListsEachEndpointOnce(t *testing.T) {
 	s := startSite(t, standin.SiteConfig{Daemons: 3, Engines: 2, Zones: 1, Speed: fastEngines})
 	eventually(t, "each endpoint once", func() bool {
--- a/internal/engine/chunk.go
+++ b/internal/engine/chunk.go
@@ -6,45 +6,45 @@
 	"github.com/go-faster/errors"
 )
 
-// Chunk is the part of a streamed event that the router looks at.
+// Chunk has the fields of a streamed event that the router uses.
 type Chunk struct {
 	ID      string   `json:"id"`
 	Model   string   `json:"model"`
 	Created int64    `json:"created"`
 	Choices []Choice `json:"choices"`
 	Usage   *Usage   `json:"usage,omitempty"`
-	// Error is set by engines that fail in the middle of an answer.
+	// Error is set by engines that fail while they stream a response.
 	Error json.RawMessage `json:"error,omitempty"`
 }
 
-// Choice is one of the alternatives in a chunk.
+// Choice is one of a chunk's alternative completions.
 type Choice struct {
 	Index        int     `json:"index"`
 	Delta        Delta   `json:"delta"`
 	FinishReason *string `json:"finish_reason"`
 }
 
-// Delta is what a chunk adds.
+// Delta is what a chunk adds to a choice.
 type Delta struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content"`
-	// Calls, Reasoning and Refusal are parts besides the text.
+	// Calls, Reasoning and Refusal are parts other than the text.
 	Calls     json.RawMessage `json:"tool_calls,omitempty"`
 	Reasoning *string         `json:"reasoning_content,omitempty"`
 	Refusal   *string         `json:"refusal,omitempty"`
 }
 
-// Usage counts tokens.
+// Usage has the token counts of a request.
 type Usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// ErrFailed says that the engine reports a failure of its own in the stream.
+// ErrFailed means that the engine reported a failure in the stream.
 var ErrFailed = errors.New("the engine failed")
 
-// ParseChunk reads an event's data.
+// ParseChunk parses the data of an event.
 func ParseChunk(data []byte) (c Chunk, err error) {
 	if err := json.Unmarshal(data, &c); err != nil {
 		return c, errors.Wrap(ErrGarbage, err.Error())
@@ -58,7 +58,7 @@
 	return c, nil
 }
 
-// Text returns what the chunk adds to the answer.
+// Text returns the text that the chunk adds to the response.
 func (c *Chunk) Text() string {
 	if len(c.Choices) == 0 {
 		return ""
@@ -66,7 +66,8 @@
 	return c.Choices[0].Delta.Content
 }
 
-// Opaque tells whether the chunk has parts besides the text of one choice.
+// Opaque reports whether the chunk has parts other than the text of a single
+// choice.
 func (c *Chunk) Opaque() bool {
 	for i := range c.Choices {
 		d := &c.Choices[i].Delta
@@ -78,7 +79,7 @@
 	return false
 }
 
-// Finished tells whether the chunk has the reason for the answer's end.
+// Finished reports whether the chunk has a finish reason.
 func (c *Chunk) Finished() bool {
 	return len(c.Choices) > 0 && c.Choices[0].FinishReason != nil && *c.Choices[0].FinishReason != ""
 }
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -1,5 +1,6 @@
-// Package engine speaks to model engines: OpenAI-compatible streaming over
-// HTTP, cancel, resume, load reports and orders. See docs/PROTOCOLS.md.
+// Package engine is a client for model engines: OpenAI-compatible streaming
+// over HTTP, cancelling and resuming of requests, load reports, and orders to
+// load a model. See docs/PROTOCOLS.md.
 package engine
 
 import (
@@ -27,26 +28,28 @@
 )
 
 const (
-	doneMarker = "[DONE]"
-	// maxReport bounds a report's or an order's answer, in bytes.
-	maxReport = 1 << 20
-	// drainTimeout bounds the wait for the stream's end after its end marker.
+	endMarker = "[DONE]"
+	// maxReportSize bounds the response to a load or state request, in bytes.
+	maxReportSize = 1 << 20
+	// drainTimeout bounds the wait for the end of a stream after its end
+	// marker.
 	drainTimeout = time.Second
 )
 
-// Errors that tell how a chat ended.
+// Errors that tell how a chat request ended.
 var (
-	// ErrNotSent says that no byte of the request reached the engine.
+	// ErrNotSent means that no byte of the request was written to the engine.
 	ErrNotSent = endpoint.ErrNotSent
-	// ErrRefused says that the engine refused the request unprocessed.
+	// ErrRefused means that the engine refused the request without processing
+	// it.
 	ErrRefused = errors.New("the engine refused the request")
-	// ErrTruncated says that the stream ended without its end marker.
+	// ErrTruncated means that the stream ended without its end marker.
 	ErrTruncated = errors.New("the engine's answer is cut off")
-	// ErrWrongAnswer says that the answer belongs to another request.
+	// ErrWrongAnswer means that the response belongs to another request.
 	ErrWrongAnswer = errors.New("the engine answered another request")
-	// ErrSilent says that nothing came within the progress deadline.
+	// ErrSilent means that nothing was received before the progress deadline.
 	ErrSilent = endpoint.ErrSilent
-	// ErrNoLoad says that the engine answered but reports no load.
+	// ErrNoLoad means that the engine responded but does not report its load.
 	ErrNoLoad = errors.New("the engine reports no load")
 )
 
@@ -60,46 +63,49 @@
 	return &Client{sender: sender}
 }
 
-// Request is one chat request as sent to an engine.
+// Request is a chat request as sent to an engine.
 type Request struct {
 	ID   string
 	Body []byte
-	// Idempotent chats may be sent twice: again over a new connection when a
-	// reused one dies before the answer.
+	// Idempotent chats may be sent twice: they are repeated on a new connection
+	// if a reused one is lost before the response.
 	Idempotent bool
-	// MayRepeat is asked before that; nil always allows it.
+	// MayRepeat is called before a repeat and reports whether it is allowed;
+	// nil always allows it.
 	MayRepeat func() bool
-	// FirstToken bounds the time until the answer begins, and from there until
-	// its first event; BetweenTokens bounds the time between events.
+	// FirstToken bounds the time until the response begins, and then the time
+	// until its first event; BetweenTokens bounds the time between events.
 	FirstToken    time.Duration
 	BetweenTokens time.Duration
 }
 
-// Stream is the engine's answer as it comes. It must be closed.
+// Stream is an engine's streamed response. It must be closed.
 type Stream struct {
-	answer *endpoint.Response
-	events *eventReader
-	// ctx is the stream's lifetime; its cause tells silence from a caller gone.
+	response *endpoint.Response
+	events   *eventReader
+	// ctx covers the stream's lifetime; its cause distinguishes a progress
+	// timeout from a cancellation by the caller.
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 
-	// timer is the progress deadline.
-	timer   *time.Timer
-	between time.Duration
-	// marked is set once the end marker was seen.
-	marked bool
+	// timer enforces the progress deadline.
+	timer         *time.Timer
+	betweenTokens time.Duration
+	// endMarkerSeen is set once the end marker was read.
+	endMarkerSeen bool
 }
 
-// Chat sends a request, at most once unless it is idempotent, and returns the stream of its answer.
+// Chat sends a request, at most once unless it is idempotent, and returns its
+// streamed response.
 func (c *Client) Chat(ctx context.Context, e *table.Endpoint, r Request) (_ *Stream, err error) {
-	s := &Stream{between: r.BetweenTokens}
+	s := &Stream{betweenTokens: r.BetweenTokens}
 	s.ctx, s.cancel = context.WithCancelCause(ctx)
 	defer func() {
 		if err != nil {
 			s.cancel(nil)
 		}
 	}()
-	s.answer, err = c.sender.Send(s.ctx, endpoint.Request{
+	s.response, err = c.sender.Send(s.ctx, endpoint.Request{
 		Method: http.MethodPost,
 		URL:    e.URL + PathChat,
 		Header: http.Header{
@@ -116,12 +122,12 @@
 	if err != nil {
 		return nil, s.sendError(err)
 	}
-	if err := checkResponse(e, r.ID, s.answer.Response); err != nil {
-		s.answer.Discard()
+	if err := checkResponse(e, r.ID, s.response.Response); err != nil {
+		s.response.Discard()
 		return nil, err
 	}
 	s.timer = time.AfterFunc(r.FirstToken, func() { s.cancel(ErrSilent) })
-	s.events = newEventReader(s.answer.Body)
+	s.events = newEventReader(s.response.Body)
 	return s, nil
 }
 
@@ -147,79 +153,81 @@
 	return nil
 }
 
-func (s *Stream) isSilent() bool { return errors.Is(context.Cause(s.ctx), ErrSilent) }
+func (s *Stream) timedOut() bool { return errors.Is(context.Cause(s.ctx), ErrSilent) }
 
-// Next returns the data of the next event, valid until the next call. After
-// the end marker it returns io.EOF; any other end is an error.
+// Next returns the data of the next event, which is valid until the next call.
+// After the end marker it returns io.EOF; if the stream ends in any other way,
+// it returns another error.
 func (s *Stream) Next() ([]byte, error) {
 	data, err := s.events.next()
 	switch {
-	case err != nil && s.isSilent():
-		s.answer.DiscardStalled()
+	case err != nil && s.timedOut():
+		s.response.DiscardStalled()
 		return nil, ErrSilent
 	case errors.Is(err, ErrGarbage):
 		return nil, err
 	case err != nil:
 		return nil, errors.Wrap(ErrTruncated, err.Error())
-	case string(data) == doneMarker:
+	case string(data) == endMarker:
 		s.timer.Stop()
-		s.marked = true
+		s.endMarkerSeen = true
 		return nil, io.EOF
 	}
-	s.timer.Reset(s.between)
+	s.timer.Reset(s.betweenTokens)
 	return data, nil
 }
 
-// Close ends the stream. Closing it before its end marker cancels the request
-// at the engine, which sees its connection go.
+// Close ends the stream. If the end marker was not read yet, it closes the
+// connection, which cancels the request at the engine.
 func (s *Stream) Close() {
 	s.timer.Stop()
-	if s.marked {
+	if s.endMarkerSeen {
 		go s.drain()
 		return
 	}
 	s.cancel(nil)
-	s.answer.Discard()
+	s.response.Discard()
 }
 
-// drain reads what follows the end marker, so that the connection can be used
-// again. Anything but blank lines there is not part of this answer: the
-// connection is then closed, so that no other request can read it.
+// drain reads the rest of the response after the end marker, so that the
+// connection can be reused. If anything but blank lines follows, it does not
+// belong to this response, and the connection is closed so that no other
+// request can read it.
 func (s *Stream) drain() {
 	defer s.cancel(nil)
 	stop := time.AfterFunc(drainTimeout, func() { s.cancel(nil) })
 	defer stop.Stop()
 	if _, err := s.events.next(); !errors.Is(err, io.EOF) {
-		s.answer.Discard()
+		s.response.Discard()
 		return
 	}
-	s.answer.Close()
+	s.response.Close()
 }
 
-// Load is an engine's report of its load, which lags.
+// Load is an engine's load report, which lags behind its actual load.
 type Load struct {
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
-	// KVUse is the used share of the cache, 0 to 1.
+	// KVUse is the used fraction of the KV cache, 0 to 1.
 	KVUse float64 `json:"kvUse"`
 }
 
-// Load asks an engine for its load.
+// Load requests an engine's load report.
 func (c *Client) Load(ctx context.Context, e *table.Endpoint) (load Load, err error) {
 	defer func() {
 		if err != nil {
-			err = errors.Wrapf(err, "load of %s", e.Name)
+			err = errors.Wrapf(err, "read load of %s", e.Name)
 		}
 	}()
-	answer, err := c.sender.Send(ctx, endpoint.Request{Method: http.MethodGet, URL: e.URL + PathLoad, Header: http.Header{}, Pooled: true, Repeatable: true})
+	response, err := c.sender.Send(ctx, endpoint.Request{Method: http.MethodGet, URL: e.URL + PathLoad, Header: http.Header{}, Pooled: true, Repeatable: true})
 	if err != nil {
 		return load, err
 	}
-	defer answer.Close()
-	if answer.StatusCode != http.StatusOK {
-		return load, errors.Wrapf(ErrNoLoad, "status %d", answer.StatusCode)
+	defer response.Close()
+	if response.StatusCode != http.StatusOK {
+		return load, errors.Wrapf(ErrNoLoad, "status %d", response.StatusCode)
 	}
-	if err := json.NewDecoder(io.LimitReader(answer.Body, maxReport)).Decode(&load); err != nil {
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxReportSize)).Decode(&load); err != nil {
 		return load, errors.Wrap(ErrNoLoad, err.Error())
 	}
 	return load, nil
--- a/internal/engine/faults_test.go
+++ b/internal/engine/faults_test.go
@@ -17,26 +17,26 @@
 )
 
 const (
-	// refuseDial is the point before any connection.
+	// refuseDial means that no connection can be opened.
 	refuseDial standin.BreakPoint = "refuseDial"
-	// nobodyListens is a port that no test can have been given.
+	// nobodyListens has a port that no test can have been assigned.
 	nobodyListens = "http://127.0.0.1:1"
 
-	wholeStream = "data: {\"choices\":[{\"delta\":{\"content\":\"booth one is free\"}}]}\n\n" +
+	completeStream = "data: {\"choices\":[{\"delta\":{\"content\":\"booth one is free\"}}]}\n\n" +
 		"data: {\"choices\":[{\"delta\":{},\"finish_reason\":\"stop\"}]}\n\ndata: [DONE]\n\n"
 )
 
 type faultPoint struct {
 	Point standin.BreakPoint `json:"point"`
-	// Error is empty for a whole answer.
+	// Error is empty if the response is complete.
 	Error      string `json:"error"`
 	Executions int    `json:"executions"`
 }
 
-// A director's summary is sent to an engine and the exchange breaks at some
-// point. The router may call it "not run" only when the engine had no byte of
-// it, may not let net/http repeat it, and may not take a stream without its
-// end marker for a whole one.
+// A chat request is sent to an engine, and the exchange fails at some point.
+// The router may report "not run" only if the engine received no byte of the
+// request, must not let net/http repeat it, and must not treat a stream without
+// its end marker as complete.
 func TestEveryPointOfFailure(t *testing.T) {
 	data, err := os.ReadFile("testdata/faults.json")
 	if err != nil {
@@ -57,7 +57,7 @@
 }
 
 func testFault(t *testing.T, p faultPoint, reused bool) {
-	b, err := standin.NewBreaking(wholeStream, "text/event-stream")
+	b, err := standin.NewBreaking(completeStream, "text/event-stream")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,7 +85,8 @@
 	}
 }
 
-// chat runs a chat to its end, with deadlines that only silence reaches.
+// chat runs a chat request to its end, with deadlines that only an unresponsive
+// engine exceeds.
 func chat(t *testing.T, client *engine.Client, e *table.Endpoint, id string, point standin.BreakPoint) error {
 	r := engine.Request{ID: id, Body: []byte(`{"messages":[{"role":"user","content":"which booth?"}]}`), FirstToken: time.Minute, BetweenTokens: time.Minute}
 	switch point {
@@ -124,17 +125,18 @@
 	return "unknown"
 }
 
-// Chats follow each other on one engine. After each whole answer its
-// connection serves the next chat: an answer's end marker is not yet the end
-// of its bytes, and a connection with bytes left over could not be used again.
-func TestWholeAnswersReuseTheirConnection(t *testing.T) {
-	b, err := standin.NewBreaking(wholeStream, "text/event-stream")
+// Consecutive chats reuse the engine's connection. The end marker is not the
+// end of the response body, and a connection with unread bytes could not be
+// reused.
+func TestCompleteResponsesReuseConnection(t *testing.T) {
+	b, err := standin.NewBreaking(completeStream, "text/event-stream")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(b.Close)
 	transport := endpoint.NewTransport()
-	// A request waits for the one connection to come back.
+	// With one connection per host, each request waits until the connection is
+	// returned to the pool.
 	transport.MaxConnsPerHost = 1
 	client := engine.NewClient(endpoint.NewSender(transport))
 	e := &table.Endpoint{URL: b.URL(), EchoesID: true}
@@ -144,6 +146,6 @@
 		}
 	}
 	if _, connections := b.Counts(); connections != 1 {
-		t.Errorf("%d connections for chats one after the other", connections)
+		t.Errorf("%d connections for consecutive chats, want 1", connections)
 	}
 }
--- a/internal/engine/order.go
+++ b/internal/engine/order.go
@@ -13,19 +13,19 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// PathState is where an engine's state is read and ordered.
+// PathState is the path at which an engine's state is read and ordered.
 const PathState = "/v1/state"
 
 // Errors of orders.
 var (
-	// ErrOldFence says that the engine has seen a larger fencing number.
-	ErrOldFence = errors.New("the engine has an order with a larger fencing number")
-	// ErrNoOrders says that the engine takes no orders.
-	ErrNoOrders = errors.New("the engine takes no orders")
+	// ErrOldFence means that the engine has seen a larger fencing number.
+	ErrOldFence = errors.New("the engine has seen a larger fencing number")
+	// ErrNoOrders means that the engine does not support orders.
+	ErrNoOrders = errors.New("the engine does not support orders")
 )
 
-// Order is the state that an engine is wanted to come to. It names the end,
-// not a step, so that repeating it does no harm.
+// Order is the state that an engine should reach. It describes the target
+// state, not a step towards it, so that endlessReader it is harmless.
 type Order struct {
 	// Fence is the sender's fencing number.
 	Fence uint64 `json:"fence"`
@@ -38,36 +38,37 @@
 type State struct {
 	Model    string   `json:"model"`
 	Adapters []string `json:"adapters"`
-	// Fence is the largest number it has seen; zero if it checks none.
+	// Fence is the largest fencing number that the engine has seen, or zero if
+	// it checks none.
 	Fence uint64 `json:"fence"`
-	// Loading is true while it is on its way to an ordered state.
+	// Loading is true while the engine changes to an ordered state.
 	Loading bool `json:"loading"`
 }
 
-// Meets tells whether the state is the one that is ordered.
+// Meets reports whether the state is the ordered one.
 func (s *State) Meets(o *Order) bool {
 	return s.Model == o.Model && slices.Equal(slices.Sorted(slices.Values(s.Adapters)), o.Adapters)
 }
 
-// WantedOrder returns the order that a row of the table amounts to.
+// WantedOrder returns the order for a row of the table.
 func WantedOrder(e *table.Endpoint) Order {
 	return Order{Model: string(e.Pool), Adapters: append([]string{}, slices.Sorted(slices.Values(e.Adapters))...)}
 }
 
-// State asks an engine for its state.
+// State requests an engine's state.
 func (c *Client) State(ctx context.Context, e *table.Endpoint) (state State, err error) {
-	if err := c.exchangeState(ctx, e, http.MethodGet, nil, &state); err != nil {
-		return state, errors.Wrapf(err, "state of %s", e.Name)
+	if err := c.requestState(ctx, e, http.MethodGet, nil, &state); err != nil {
+		return state, errors.Wrapf(err, "read state of %s", e.Name)
 	}
 	return state, nil
 }
 
-// Order tells an engine which state it should come to. Any error but
-// ErrOldFence and ErrNoOrders leaves open whether it will.
+// Order tells an engine which state it should reach. After any error but
+// ErrOldFence and ErrNoOrders, the engine may still carry out the order.
 func (c *Client) Order(ctx context.Context, e *table.Endpoint, o Order) (err error) {
 	defer func() {
 		if err != nil {
-			err = errors.Wrapf(err, "order to %s", e.Name)
+			err = errors.Wrapf(err, "send order to %s", e.Name)
 		}
 	}()
 	body, err := json.Marshal(o)
@@ -75,25 +76,25 @@
 		return err
 	}
 	var state State
-	return c.exchangeState(ctx, e, http.MethodPut, body, &state)
+	return c.requestState(ctx, e, http.MethodPut, body, &state)
 }
 
-func (c *Client) exchangeState(ctx context.Context, e *table.Endpoint, method string, body []byte, state *State) error {
-	answer, err := c.sender.Send(ctx, endpoint.Request{
+func (c *Client) requestState(ctx context.Context, e *table.Endpoint, method string, body []byte, state *State) error {
+	response, err := c.sender.Send(ctx, endpoint.Request{
 		Method: method, URL: e.URL + PathState, Header: http.Header{"Content-Type": {"application/json"}}, Body: body,
 		Pooled: true, Repeatable: method == http.MethodGet,
 	})
 	if err != nil {
 		return err
 	}
-	defer answer.Close()
-	switch answer.StatusCode {
+	defer response.Close()
+	switch response.StatusCode {
 	case http.StatusOK, http.StatusAccepted:
-		return json.NewDecoder(io.LimitReader(answer.Body, maxReport)).Decode(state)
+		return json.NewDecoder(io.LimitReader(response.Body, maxReportSize)).Decode(state)
 	case http.StatusConflict:
 		return ErrOldFence
 	case http.StatusNotFound, http.StatusMethodNotAllowed, http.StatusNotImplemented:
 		return ErrNoOrders
 	}
-	return errors.Errorf("status %d", answer.StatusCode)
+	return errors.Errorf("unexpected status %d", response.StatusCode)
 }
--- a/internal/engine/sse.go
+++ b/internal/engine/sse.go
@@ -8,33 +8,34 @@
 	"github.com/go-faster/errors"
 )
 
-// maxEvent bounds one event of a stream, in bytes.
-const maxEvent = 1 << 20
+// maxEventSize bounds an event of a stream, in bytes.
+const maxEventSize = 1 << 20
 
-// ErrGarbage says that what came is not a stream of events.
+// ErrGarbage means that the response is not a valid event stream.
 var ErrGarbage = errors.New("the engine's stream is malformed")
 
-// eventReader reads server-sent events that carry data fields. Lines end in
-// LF or CRLF; a line that is no field of the format is an error, because it
-// comes from something that is no engine.
+// eventReader reads server-sent events that have data fields. Lines end in LF
+// or CRLF. A line that is not a valid field is an error, because the response
+// then does not come from an engine.
 type eventReader struct {
 	scanner *bufio.Scanner
-	// data is the event that was read last.
+	// data is the event read last.
 	data []byte
-	// begun is set once the first line was read.
-	begun bool
+	// started is set once the first line was read.
+	started bool
 }
 
 func newEventReader(r io.Reader) *eventReader {
 	s := bufio.NewScanner(r)
-	s.Buffer(make([]byte, 0, 4096), maxEvent)
-	s.Split(wholeLines)
+	s.Buffer(make([]byte, 0, 4096), maxEventSize)
+	s.Split(scanCompleteLines)
 	return &eventReader{scanner: s}
 }
 
-// wholeLines splits like bufio.ScanLines, but a last line without its end is an
-// error: it is what is left of a line when the connection breaks.
-func wholeLines(data []byte, atEOF bool) (advance int, token []byte, err error) {
+// scanCompleteLines splits like bufio.ScanLines, but returns an error for a
+// last line without a line ending, which is truncated by the loss of the
+// connection.
+func scanCompleteLines(data []byte, atEOF bool) (advance int, token []byte, err error) {
 	if atEOF && len(data) > 0 && bytes.IndexByte(data, '\n') < 0 {
 		return 0, nil, io.ErrUnexpectedEOF
 	}
@@ -44,36 +45,36 @@
 var (
 	byteOrderMark = []byte("\ufeff")
 	dataField     = []byte("data")
-	// otherFields are read and ignored, as are comments, whose name is empty.
+	// otherFields are ignored. Comments have the empty field name.
 	otherFields = [][]byte{[]byte(""), []byte("event"), []byte("id"), []byte("retry")}
 )
 
-// next returns the data of the next event, valid until the next call. It
-// returns io.EOF when the stream ends between events.
+// next returns the data of the next event, which is valid until the next call.
+// It returns io.EOF if the stream ends between events.
 func (r *eventReader) next() ([]byte, error) {
 	r.data = r.data[:0]
 	for r.scanner.Scan() {
 		line := r.scanner.Bytes()
-		if !r.begun {
-			r.begun = true
+		if !r.started {
+			r.started = true
 			line = bytes.TrimPrefix(line, byteOrderMark)
 		}
 		if len(line) > 0 {
-			if err := r.field(line); err != nil {
+			if err := r.parseLine(line); err != nil {
 				return nil, err
 			}
 			continue
 		}
 		if len(r.data) > 0 {
-			// Every data line has added its end to the buffer.
+			// Each data line has added a line feed to the buffer.
 			return r.data[:len(r.data)-1], nil
 		}
 	}
-	return nil, r.end()
+	return nil, r.endError()
 }
 
-// end returns why there is no further event.
-func (r *eventReader) end() error {
+// endError returns the reason why there are no more events.
+func (r *eventReader) endError() error {
 	err := r.scanner.Err()
 	switch {
 	case errors.Is(err, bufio.ErrTooLong):
@@ -86,12 +87,12 @@
 	return io.EOF
 }
 
-// field takes one line that is not empty.
-func (r *eventReader) field(line []byte) error {
+// parseLine parses a line that is not empty.
+func (r *eventReader) parseLine(line []byte) error {
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	if bytes.Equal(name, dataField) {
 		value = bytes.TrimPrefix(value, []byte(" "))
-		if len(r.data)+len(value) >= maxEvent {
+		if len(r.data)+len(value) >= maxEventSize {
 			return errors.Wrap(ErrGarbage, "an event beyond the bound")
 		}
 		r.data = append(r.data, value...)
--- a/internal/engine/sse_test.go
+++ b/internal/engine/sse_test.go
@@ -13,7 +13,7 @@
 	"github.com/go-faster/errors"
 )
 
-// eventCase is a stream with its events and how it ends.
+// eventCase is a stream, its events and the error at its end.
 type eventCase struct {
 	Name   string   `json:"name"`
 	Stream string   `json:"stream"`
@@ -43,10 +43,10 @@
 	}
 }
 
-// An engine sends an event that does not end, by one line or by many. The
-// reader gives up instead of filling the memory.
-func TestEndlessEventIsGarbage(t *testing.T) {
-	long := strings.Repeat("x", maxEvent/4)
+// An engine sends an event that does not end, as one line or as many. The
+// reader must fail instead of buffering it without bound.
+func TestOversizedEventIsMalformed(t *testing.T) {
+	long := strings.Repeat("x", maxEventSize/4)
 	for _, stream := range []string{"data: " + strings.Repeat(long, 5) + "\n\n", strings.Repeat("data: "+long+"\n", 5) + "\n"} {
 		events, err := readAll(strings.NewReader(stream))
 		if len(events) > 0 || !errors.Is(err, ErrGarbage) {
@@ -66,9 +66,9 @@
 	}
 }
 
-// FuzzEvents checks that no stream crashes the reader, that its events do not
-// depend on how the stream is split into reads, and that data is read as it
-// was written.
+// FuzzEvents checks that no stream crashes the reader, that the events do not
+// depend on how the stream is split into reads, and that data is read as it was
+// written.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("data: a\n\ndata: b\n\n"), "a")
 	f.Add([]byte("\ufeff: c\r\nevent: x\r\ndata\r\ndata:b\r\n\r\ndata"), "{\"a\":\"b\"}")
@@ -79,7 +79,7 @@
 		if !slices.Equal(whole, split) || wholeEnd.Error() != splitEnd.Error() {
 			t.Fatalf("%q (%v) or %q (%v)", whole, wholeEnd, split, splitEnd)
 		}
-		if payload == "" || strings.ContainsAny(payload, "\r\n") || len(payload) >= maxEvent {
+		if payload == "" || strings.ContainsAny(payload, "\r\n") || len(payload) >= maxEventSize {
 			return
 		}
 		got, err := readAll(strings.NewReader("data: " + payload + "\n\n"))
@@ -89,8 +89,8 @@
 	})
 }
 
-// FuzzChunk checks that no event crashes the reader of chunks, and that what
-// it accepts is a chunk.
+// FuzzChunk checks that no event crashes ParseChunk, and that what it accepts
+// is a chunk.
 func FuzzChunk(f *testing.F) {
 	f.Add([]byte(`{"choices":[{"delta":{"content":"a"}}]}`))
 	f.Add([]byte(`{"error":{"message":"out of memory"}}`))
@@ -99,15 +99,15 @@
 		c, err := ParseChunk(data)
 		_ = c.Text()
 		if err == nil && (!json.Valid(data) || c.Choices == nil && c.Usage == nil) {
-			t.Fatalf("%q is no chunk", data)
+			t.Fatalf("accepted %q, which is not a chunk", data)
 		}
 	})
 }
 
-// An engine runs out of memory in the middle of an answer and says so by an
-// event, and then ends the stream with its end marker. The text so far is not
-// the whole answer.
-func TestErrorEventIsNoChunk(t *testing.T) {
+// An engine runs out of memory while it streams a response, reports this in an
+// event, and then sends the end marker. The text so far must not be treated as
+// the complete response.
+func TestParseChunkErrors(t *testing.T) {
 	for data, want := range map[string]error{
 		`{"error":{"message":"out of memory"}}`: ErrFailed,
 		`{"error":null,"choices":[]}`:           nil,
@@ -124,7 +124,7 @@
 
 func BenchmarkEvents(b *testing.B) {
 	event := []byte(`data: {"id":"chatcmpl-7QZ","model":"assistant","created":1764720000,"choices":[{"index":0,"delta":{"content":"w17-3fa "},"finish_reason":null}]}` + "\n\n")
-	reader := newEventReader(&repeating{data: event})
+	reader := newEventReader(&endlessReader{data: event})
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := reader.next(); err != nil {
@@ -143,13 +143,13 @@
 	}
 }
 
-// repeating reads the same data without end.
-type repeating struct {
+// endlessReader is a reader that returns the same data endlessly.
+type endlessReader struct {
 	data []byte
 	at   int
 }
 
-func (r *repeating) Read(p []byte) (int, error) {
+func (r *endlessReader) Read(p []byte) (int, error) {
 	n := copy(p, r.data[r.at:])
 	r.at = (r.at + n) % len(r.data)
 	return n, nil
--- a/internal/framing/framing.go
+++ b/internal/framing/framing.go
@@ -1,6 +1,6 @@
-// Package framing finds requests whose length is given in two ways that
-// differ. net/http takes such a request by one of them and goes on with what
-// it holds for the next request, which may have been smuggled in.
+// Package framing detects requests with conflicting body lengths. net/http
+// accepts such a request by one of the lengths and parses the bytes that follow
+// as the next request, which allows request smuggling.
 package framing
 
 import (
@@ -11,11 +11,12 @@
 	"sync/atomic"
 )
 
-// maxLine bounds the length of a line that is looked at, in bytes. The names
-// and values that matter are short; net/http bounds the whole head.
+// maxLine bounds the part of a line that is kept for parsing, in bytes. The
+// relevant header names and values are short; net/http bounds the size of all
+// headers.
 const maxLine = 256
 
-// state is where in a request the scanner stands.
+// state is the scanner's position within a request.
 type state int
 
 const (
@@ -27,32 +28,34 @@
 	inTrailer
 )
 
-// Scanner follows a stream of HTTP/1.1 requests.
+// Scanner parses the framing of a stream of HTTP/1.1 requests.
 type Scanner struct {
 	state state
 	line  []byte
-	// left counts the bytes of the body or chunk that are still to come.
-	left int64
-	// started says that the head has begun, so that an empty line ends it.
-	started bool
-	lengths int
-	length  int64
-	chunked bool
-	bad     bool
+	// remaining counts the bytes of the body or chunk that have not been read
+	// yet.
+	remaining int64
+	// started is set once a header line was read, so that an empty line ends
+	// the headers. Empty lines before a request are ignored.
+	started        bool
+	contentLengths int
+	length         int64
+	chunked        bool
+	bad            bool
 }
 
-// Conflict tells whether a request with conflicting lengths was seen, or one
-// whose length can't be read.
+// Conflict reports whether the stream contains a request with conflicting
+// lengths or with a length that can't be parsed.
 func (s *Scanner) Conflict() bool { return s.bad }
 
-// Scan takes in the next bytes of the stream.
+// Scan processes the next bytes of the stream.
 func (s *Scanner) Scan(b []byte) {
 	for len(b) > 0 && !s.bad {
 		switch s.state {
 		case inBody, inChunk:
-			n := min(int64(len(b)), s.left)
+			n := min(int64(len(b)), s.remaining)
 			b = b[n:]
-			if s.left -= n; s.left == 0 {
+			if s.remaining -= n; s.remaining == 0 {
 				s.endData()
 			}
 		default:
@@ -69,30 +72,31 @@
 	s.reset()
 }
 
-// scanLine takes bytes up to the end of a line and handles the line.
+// scanLine consumes bytes up to the end of a line, processes the line if it is
+// complete, and returns the bytes that follow.
 func (s *Scanner) scanLine(b []byte) []byte {
 	i := bytes.IndexByte(b, '\n')
 	end := i
 	if i < 0 {
 		end = len(b)
 	}
-	room := maxLine - len(s.line)
-	s.line = append(s.line, b[:min(end, room)]...)
+	free := maxLine - len(s.line)
+	s.line = append(s.line, b[:min(end, free)]...)
 	if i < 0 {
 		return nil
 	}
 	line := strings.TrimSuffix(string(s.line), "\r")
 	s.line = s.line[:0]
-	s.handle(line)
+	s.processLine(line)
 	return b[i+1:]
 }
 
-func (s *Scanner) handle(line string) {
+func (s *Scanner) processLine(line string) {
 	switch s.state {
 	case inHead:
-		s.head(line)
+		s.headerLine(line)
 	case inChunkSize:
-		s.chunkSize(line)
+		s.chunkSizeLine(line)
 	case inChunkEnd:
 		s.state = inChunkSize
 	case inTrailer:
@@ -102,10 +106,10 @@
 	}
 }
 
-func (s *Scanner) head(line string) {
+func (s *Scanner) headerLine(line string) {
 	if line == "" {
 		if s.started {
-			s.endHead()
+			s.endHeaders()
 		}
 		return
 	}
@@ -118,8 +122,8 @@
 	switch strings.ToLower(name) {
 	case "content-length":
 		n, err := strconv.ParseInt(value, 10, 64)
-		s.bad = s.bad || err != nil || n < 0 || s.lengths > 0
-		s.lengths++
+		s.bad = s.bad || err != nil || n < 0 || s.contentLengths > 0
+		s.contentLengths++
 		s.length = n
 	case "transfer-encoding":
 		s.bad = s.bad || s.chunked
@@ -127,20 +131,20 @@
 	}
 }
 
-func (s *Scanner) endHead() {
+func (s *Scanner) endHeaders() {
 	switch {
-	case s.chunked && s.lengths > 0:
+	case s.chunked && s.contentLengths > 0:
 		s.bad = true
 	case s.chunked:
 		s.state = inChunkSize
 	case s.length > 0:
-		s.state, s.left = inBody, s.length
+		s.state, s.remaining = inBody, s.length
 	default:
 		s.reset()
 	}
 }
 
-func (s *Scanner) chunkSize(line string) {
+func (s *Scanner) chunkSizeLine(line string) {
 	size, _, _ := strings.Cut(line, ";")
 	n, err := strconv.ParseInt(strings.TrimSpace(size), 16, 64)
 	switch {
@@ -149,20 +153,20 @@
 	case n == 0:
 		s.state = inTrailer
 	default:
-		s.state, s.left = inChunk, n
+		s.state, s.remaining = inChunk, n
 	}
 }
 
 func (s *Scanner) reset() { *s = Scanner{line: s.line[:0]} }
 
-// Conn is a connection whose requests are scanned as they are read.
+// Conn is a connection that scans the requests read from it.
 type Conn struct {
 	net.Conn
 	scanner  Scanner
 	conflict atomic.Bool
 }
 
-// Read reads and scans.
+// Read reads from the connection and scans what was read.
 func (c *Conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 && !c.conflict.Load() {
@@ -174,13 +178,13 @@
 	return n, err
 }
 
-// Conflict tells whether a request with conflicting lengths was read.
+// Conflict reports whether a request with conflicting lengths was read.
 func (c *Conn) Conflict() bool { return c.conflict.Load() }
 
-// Listener scans the requests of the connections that it accepts.
+// Listener accepts connections whose requests are scanned.
 type Listener struct{ net.Listener }
 
-// Accept waits for the next connection.
+// Accept waits for the next connection and returns it as a *Conn.
 func (l Listener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
--- a/internal/framing/framing_test.go
+++ b/internal/framing/framing_test.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-// A caller sends a request with both a Content-Length and chunks. net/http
-// takes the chunks and goes on after them, so that what the caller wrote as a
-// part of the body is answered, and run, as a request of its own.
+// Guards against request smuggling: for a request with both Content-Length and
+// Transfer-Encoding: chunked, net/http uses the chunks, and what the caller
+// sent as the rest of the body would be executed as a separate request.
 func TestConflict(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
@@ -49,8 +49,9 @@
 	}
 }
 
-// FuzzScanner compares the scanner with net/http: as long as it sees no
-// conflict, both find the same number of requests.
+// FuzzScanner compares the scanner with net/http: after every request that
+// net/http parses, the scanner has either found a conflict or expects the
+// headers of the next request.
 func FuzzScanner(f *testing.F) {
 	f.Add("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabcGET / HTTP/1.1\r\nHost: a\r\n\r\n")
 	f.Add("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\nGET / HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -71,7 +72,7 @@
 			var s Scanner
 			s.Scan(whole.Bytes())
 			if !s.Conflict() && s.state != inHead {
-				t.Fatalf("after %q the scanner stands at %d", whole.String(), s.state)
+				t.Fatalf("after %q the scanner is in state %d", whole.String(), s.state)
 			}
 		}
 	})
--- a/internal/http1/dial.go
+++ b/internal/http1/dial.go
@@ -9,16 +9,16 @@
 	"github.com/beechhead/beechhead/internal/endpoint"
 )
 
-// Timings of connections to endpoints.
+// Timeouts of connections to endpoints.
 const (
-	// dialTimeout bounds the opening. Endpoints are a few milliseconds away;
-	// one that does not answer within it is passed over while the caller's
-	// target can still be met.
+	// dialTimeout bounds opening a connection. Endpoints are a few milliseconds
+	// away; if one does not answer within this time, the request can go to
+	// another endpoint while the caller's latency target can still be met.
 	dialTimeout = 300 * time.Millisecond
-	// userTimeout ends a connection whose sent bytes nobody acknowledges: the
-	// endpoint's machine is gone or cut off. Packets that are lost are sent
-	// again two or three times within it.
-	userTimeout = 1200 * time.Millisecond
+	// tcpUserTimeout closes a connection whose sent data is not acknowledged,
+	// because the endpoint's machine has failed or is unreachable. It leaves
+	// time for two or three retransmissions of lost packets.
+	tcpUserTimeout = 1200 * time.Millisecond
 )
 
 // Dial opens a connection to an endpoint.
@@ -27,7 +27,7 @@
 		Timeout:   dialTimeout,
 		KeepAlive: -1,
 		Control: func(_, _ string, c syscall.RawConn) error {
-			return endpoint.SetUserTimeout(c, userTimeout)
+			return endpoint.SetUserTimeout(c, tcpUserTimeout)
 		},
 	}
 	return dialer.DialContext(ctx, "tcp", address)
--- a/internal/http1/exchange.go
+++ b/internal/http1/exchange.go
@@ -13,55 +13,58 @@
 	"github.com/go-faster/errors"
 )
 
-// Request is what is sent.
+// Request is a request to an endpoint.
 type Request struct {
 	Method string
-	// Target is the path and query as the caller wrote them.
+	// Target is the path and query exactly as the caller sent them.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Fresh asks for a new connection.
+	// Fresh requires a new connection.
 	Fresh bool
-	// Check is asked right before the request is written, after a connection
-	// was opened; an error sends nothing. It is nil where nothing can change.
+	// Check is called right before the request is written, after the connection
+	// was opened. If it returns an error, the request is not sent. Check may be
+	// nil.
 	Check func() error
-	// Mine tells whether an answer with these headers belongs to the request.
+	// Mine reports whether a response with these headers belongs to this
+	// request.
 	Mine func(http.Header) bool
 }
 
 const (
-	// inlineBody is the size in bytes up to which a request is written before
-	// its answer is read. A longer one is written meanwhile, since endpoints
-	// may answer before they have read it.
-	inlineBody = 8 << 10
-	// maxForeign bounds the answers to other requests that are passed over on
-	// one connection.
-	maxForeign = 3
+	// maxInlineBody is the maximum size in bytes of a body that is written
+	// before the response is read. A larger body is written concurrently, since
+	// endpoints may respond before they have read all of it.
+	maxInlineBody = 8 << 10
+	// maxForeignResponses bounds the responses to other requests that are
+	// skipped on one connection.
+	maxForeignResponses = 3
 )
 
-// ErrForeign says that the answers that came belong to other requests.
+// ErrForeign is returned if only responses to other requests were received.
 var ErrForeign = errors.New("answers of other requests")
 
-// Exchange is one request on its connection. It is not safe for concurrent
-// use, but for Abort.
+// Exchange is a request on its connection. Only Abort may be called
+// concurrently with other methods.
 type Exchange struct {
 	pool    *Pool
 	address string
 	conn    *conn
 	request *Request
 	resp    *http.Response
-	// writing is closed when the request has been written; nil if it was
-	// written before.
-	writing chan struct{}
-	// spoiled connections are not used again.
-	spoiled bool
-	ended   atomic.Bool
+	// bodyWritten is closed when the body has been written; nil if it was
+	// written before the response is read.
+	bodyWritten chan struct{}
+	// noReuse is set if the connection must not carry another exchange.
+	noReuse  bool
+	finished atomic.Bool
 }
 
-// Send writes a request to an address. It goes over another connection only
-// while no byte was written. Any error is ErrNotSent: once something was
-// written, the exchange itself tells how it goes.
+// Send writes a request to an address. It tries another connection only as long
+// as no byte of the request was written. An error other than Check's is
+// ErrNotSent: once a byte was written, Send succeeds and failures are reported
+// by the Exchange.
 func (p *Pool) Send(ctx context.Context, address string, r *Request) (*Exchange, error) {
 	head := writeHead(r)
 	for {
@@ -97,27 +100,27 @@
 			return c, nil
 		}
 	}
-	return p.open(ctx, address)
+	return p.dialConn(ctx, address)
 }
 
-// write sends the request; false means that no byte was taken.
+// write sends the request. It returns false if no byte of it was written.
 func (x *Exchange) write(head []byte) bool {
 	body := x.request.Body
-	if len(body) <= inlineBody {
+	if len(body) <= maxInlineBody {
 		n, err := x.conn.Write(append(head, body...))
 		if err != nil {
-			x.spoiled = true
+			x.noReuse = true
 		}
 		return n > 0
 	}
 	n, err := x.conn.Write(head)
 	if err != nil {
-		x.spoiled = true
+		x.noReuse = true
 		return n > 0
 	}
-	x.writing = make(chan struct{})
+	x.bodyWritten = make(chan struct{})
 	go func() {
-		defer close(x.writing)
+		defer close(x.bodyWritten)
 		_, _ = x.conn.Write(body)
 	}()
 	return true
@@ -141,34 +144,35 @@
 	return b.Bytes()
 }
 
-// Abort ends the exchange at once, from any goroutine. The endpoint sees its
-// connection close and stops its work.
+// Abort ends the exchange immediately; it may be called from any goroutine. The
+// endpoint sees the connection closed and stops processing the request.
 func (x *Exchange) Abort() {
-	if x.ended.CompareAndSwap(false, true) {
+	if x.finished.CompareAndSwap(false, true) {
 		_ = x.conn.Close()
 	}
 }
 
-// Reused tells whether the connection has carried another exchange before.
+// Reused reports whether the connection has carried an exchange before this
+// one.
 func (x *Exchange) Reused() bool { return x.conn.reused }
 
-// Patience bounds the time until the next bytes; zero is unbounded.
+// Patience sets the timeout for reading from now on; zero means none.
 func (x *Exchange) Patience(d time.Duration) {
-	var at time.Time
+	var deadline time.Time
 	if d > 0 {
-		at = time.Now().Add(d)
+		deadline = time.Now().Add(d)
 	}
-	_ = x.conn.SetReadDeadline(at)
+	_ = x.conn.SetReadDeadline(deadline)
 }
 
-// Response waits for the head of the answer. Informational answers, and those
-// that belong to other requests, are passed over.
+// Response waits for the headers of the response. It skips informational
+// responses and responses that belong to other requests.
 func (x *Exchange) Response() (*http.Response, error) {
-	asked := &http.Request{Method: x.request.Method}
-	for range maxForeign + 1 {
-		resp, err := http.ReadResponse(x.conn.reader, asked)
+	request := &http.Request{Method: x.request.Method}
+	for range maxForeignResponses + 1 {
+		resp, err := http.ReadResponse(x.conn.reader, request)
 		if err != nil {
-			x.spoiled = true
+			x.noReuse = true
 			return nil, errors.Wrap(err, "read answer")
 		}
 		if resp.StatusCode/100 == 1 {
@@ -178,9 +182,9 @@
 			x.resp = resp
 			return resp, nil
 		}
-		// A late answer to an earlier request. What follows is this one's,
-		// but the connection is not to be trusted any longer.
-		x.spoiled = true
+		// This is a late response to an earlier request. The next one belongs
+		// to this request, but the connection must not be reused.
+		x.noReuse = true
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 			return nil, errors.Wrap(err, "pass over an answer")
 		}
@@ -188,44 +192,45 @@
 	return nil, ErrForeign
 }
 
-// Buffered returns the bytes of the answer that can be read without waiting.
+// Buffered returns the number of bytes that can be read without waiting.
 func (x *Exchange) Buffered() int { return x.conn.reader.Buffered() }
 
-// Finish ends an exchange whose answer was read whole. The connection is kept
-// if it can carry another one.
+// Finish ends an exchange whose response was read completely. The connection is
+// returned to the pool if it can carry another exchange.
 func (x *Exchange) Finish() {
-	if !x.ended.CompareAndSwap(false, true) {
+	if !x.finished.CompareAndSwap(false, true) {
 		return
 	}
 	_ = x.conn.SetReadDeadline(time.Time{})
-	if x.reusable() {
-		x.pool.put(x.address, x.conn, keepFor(x.resp.Header))
+	if x.isReusable() {
+		x.pool.put(x.address, x.conn, idleTimeout(x.resp.Header))
 		return
 	}
 	_ = x.conn.Close()
 }
 
-func (x *Exchange) reusable() bool {
-	return !x.spoiled && x.resp != nil && !x.resp.Close && x.written() && x.conn.reader.Buffered() == 0
+func (x *Exchange) isReusable() bool {
+	return !x.noReuse && x.resp != nil && !x.resp.Close && x.isWritten() && x.conn.reader.Buffered() == 0
 }
 
-// written tells whether the whole request is out. An endpoint that answered
-// before expects the rest of the body next; another request in its place would
-// be taken for that.
-func (x *Exchange) written() bool {
-	if x.writing == nil {
+// isWritten reports whether the whole request was written. An endpoint that
+// responds early still expects the rest of the body and would read the next
+// request as part of it.
+func (x *Exchange) isWritten() bool {
+	if x.bodyWritten == nil {
 		return true
 	}
 	select {
-	case <-x.writing:
+	case <-x.bodyWritten:
 		return true
 	default:
 		return false
 	}
 }
 
-// keepFor returns how long a connection may be kept by the endpoint's word.
-func keepFor(h http.Header) time.Duration {
+// idleTimeout returns how long a connection may stay idle according to the
+// endpoint's Keep-Alive header.
+func idleTimeout(h http.Header) time.Duration {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		if v, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout="); ok {
 			seconds, err := strconv.Atoi(v)
@@ -235,5 +240,5 @@
 			return time.Duration(seconds)*time.Second - idleMargin
 		}
 	}
-	return defaultIdle
+	return defaultIdleTimeout
 }
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -15,15 +15,15 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// scripted is a scripted endpoint on loopback: it plays one list of steps on
-// each connection that it accepts, in order.
-type scripted struct {
+// scriptedEndpoint is an endpoint on the loopback interface. It runs one list
+// of steps on each connection that it accepts, in order.
+type scriptedEndpoint struct {
 	listener net.Listener
 	requests chan string
 }
 
-// step is what an endpoint does on a connection: it reads a request if Read
-// is set, writes Write, and closes or resets if told to.
+// step is an action on a connection: read a request if Read is set, write
+// Write, then close or reset the connection.
 type step struct {
 	Read  bool
 	Write string
@@ -31,13 +31,13 @@
 	Reset bool
 }
 
-func newEndpoint(t *testing.T, conns [][]step) *scripted {
+func newEndpoint(t *testing.T, conns [][]step) *scriptedEndpoint {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := &scripted{listener: l, requests: make(chan string, 16)}
+	e := &scriptedEndpoint{listener: l, requests: make(chan string, 16)}
 	t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for _, steps := range conns {
@@ -46,13 +46,13 @@
 				return
 			}
 			t.Cleanup(func() { _ = c.Close() })
-			go e.play(c, steps)
+			go e.runSteps(c, steps)
 		}
 	}()
 	return e
 }
 
-func (e *scripted) play(c net.Conn, steps []step) {
+func (e *scriptedEndpoint) runSteps(c net.Conn, steps []step) {
 	r := bufio.NewReader(c)
 	for _, s := range steps {
 		if s.Read {
@@ -78,7 +78,7 @@
 	return NewPool(clockwork.NewRealClock(), Dial)
 }
 
-// exchangeOnce sends one request and returns its answer's body.
+// exchangeOnce sends one request and returns the body of its response.
 func exchangeOnce(p *Pool, address, id string) (string, error) {
 	x, err := p.Send(context.Background(), address, &Request{
 		Method: http.MethodPost,
@@ -105,8 +105,9 @@
 	return string(body), nil
 }
 
-// TestScripts plays what faulty endpoints do from a file: for each request the
-// body that the caller gets, or "error", and how many connections it took.
+// TestScripts runs the faulty endpoints in testdata/scripts.json. For each
+// request it checks the body that the caller gets, or "error", and in the end
+// the number of connections opened.
 func TestScripts(t *testing.T) {
 	data, err := os.ReadFile("testdata/scripts.json")
 	if err != nil {
@@ -142,19 +143,19 @@
 	}
 }
 
-// The target reaches the endpoint byte for byte.
+// The endpoint receives the request target byte for byte.
 func TestTargetIsUnchanged(t *testing.T) {
 	e := newEndpoint(t, [][]step{{{Read: true, Write: "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"}}})
 	if _, err := exchangeOnce(newTestPool(), e.listener.Addr().String(), "1"); err != nil {
 		t.Fatal(err)
 	}
 	if got := <-e.requests; got != "POST /a?b=%7c| 1" {
-		t.Errorf("the endpoint got %q", got)
+		t.Errorf("the endpoint received %q", got)
 	}
 }
 
-// Nothing listens at the address: the request was certainly not sent.
-func TestNothingListens(t *testing.T) {
+// If the address has no listener, the request was certainly not sent.
+func TestConnectionRefused(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -165,10 +166,10 @@
 	}
 }
 
-// An endpoint refuses a long request before it has read it, and keeps the
-// connection. What comes next on it would be taken for the rest of the body,
-// so the connection must not be used again.
-func TestEarlyAnswerSpoilsTheConnection(t *testing.T) {
+// An endpoint rejects a large request before it has read the body, and keeps
+// the connection open. It would read the next request on it as the rest of the
+// body, so the connection must not be reused.
+func TestEarlyResponsePreventsReuse(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -201,24 +202,24 @@
 			t.Fatal(err)
 		}
 		if body, err := io.ReadAll(resp.Body); err != nil || string(body) != "no" {
-			t.Fatalf("answer %q, %v", body, err)
+			t.Fatalf("response %q, %v", body, err)
 		}
 		x.Finish()
 	}
 	if opened := p.Opened.Load(); opened != 2 {
-		t.Errorf("%d connections, want one a request", opened)
+		t.Errorf("%d connections, want one per request", opened)
 	}
 }
 
-// Each daemon keeps idle connections to each endpoint. Together they would
-// exceed what an endpoint accepts, and it resets what goes beyond that.
+// Each daemon keeps idle connections to each endpoint. If their total exceeded
+// the endpoint's connection limit, the endpoint would reset some of them.
 func TestIdleConnectionsAreBounded(t *testing.T) {
 	p := NewPool(clockwork.NewFakeClock(), nil)
 	p.SetMaxIdle(2)
 	for range 3 {
 		a, b := net.Pipe()
 		t.Cleanup(func() { _ = b.Close() })
-		p.put("x", &conn{Conn: a, reader: bufio.NewReader(a)}, defaultIdle)
+		p.put("x", &conn{Conn: a, reader: bufio.NewReader(a)}, defaultIdleTimeout)
 	}
 	if n := len(p.idle["x"]); n != 2 {
 		t.Errorf("%d connections are idle, want 2", n)
--- a/internal/http1/pool.go
+++ b/internal/http1/pool.go
@@ -1,7 +1,8 @@
-// Package http1 sends requests to endpoints over kept HTTP/1.1 connections,
-// one at a time on each. Unlike net/http's transport it never repeats a
-// request, tells for certain whether a byte of it was written, and copes with
-// endpoints that answer early, twice or with what belongs to another request.
+// Package http1 sends requests to endpoints over persistent HTTP/1.1
+// connections without pipelining. Unlike net/http's transport, it never retries
+// a request by itself, reports reliably whether any byte of it was written, and
+// handles endpoints that respond early, twice, or with the response to another
+// request.
 package http1
 
 import (
@@ -16,17 +17,18 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// ErrNotSent says that no byte of the request was written to the endpoint.
+// ErrNotSent means that no byte of the request was written to the endpoint.
 var ErrNotSent = errors.New("not sent")
 
 const (
-	// defaultIdle is how long a connection is kept whose endpoint names no
-	// time. Endpoints close idle ones after some seconds.
-	defaultIdle = 4 * time.Second
-	// idleMargin is how much earlier than the endpoint's own time a connection
-	// is given up, so that a request does not cross its close.
+	// defaultIdleTimeout is how long an idle connection is kept if the endpoint
+	// states no timeout. Endpoints close idle connections after some seconds.
+	defaultIdleTimeout = 4 * time.Second
+	// idleMargin is how much earlier than the endpoint's own idle timeout a
+	// connection is closed, so that no request is sent while the endpoint
+	// closes the connection.
 	idleMargin = 700 * time.Millisecond
-	// bufferSize is that of a connection's reader: an event is short.
+	// bufferSize is the size of a connection's read buffer; events are short.
 	bufferSize = 2 << 10
 )
 
@@ -36,43 +38,44 @@
 	// dial opens a connection to an address.
 	dial func(ctx context.Context, address string) (net.Conn, error)
 
-	mu    sync.Mutex
-	idle  map[string][]*conn
-	swept time.Time
-	// Opened counts connections.
+	mu        sync.Mutex
+	idle      map[string][]*conn
+	lastSweep time.Time
+	// Opened counts the connections that were opened.
 	Opened atomic.Int64
-	// maxIdle bounds the idle connections to one address; zero does not.
+	// maxIdle bounds the idle connections per address; zero means no bound.
 	maxIdle atomic.Int64
 }
 
-// SetMaxIdle bounds the idle connections to one address; zero does not.
-// Endpoints reset what exceeds their limit for all callers together, and the
-// request on it with it.
+// SetMaxIdle bounds the idle connections per address; zero means no bound.
+// Endpoints have a connection limit for all callers together and reset
+// connections that exceed it, along with the requests on them.
 func (p *Pool) SetMaxIdle(n int) { p.maxIdle.Store(int64(n)) }
 
 // NewPool returns an empty pool.
 func NewPool(clock clockwork.Clock, dial func(ctx context.Context, address string) (net.Conn, error)) *Pool {
-	return &Pool{clock: clock, dial: dial, idle: map[string][]*conn{}, swept: clock.Now()}
+	return &Pool{clock: clock, dial: dial, idle: map[string][]*conn{}, lastSweep: clock.Now()}
 }
 
 // conn is a connection that carries one exchange at a time.
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// reused says that it has carried an exchange before.
+	// reused is set once the connection has carried an exchange.
 	reused bool
-	// until is when an idle connection is given up.
-	until time.Time
+	// expiresAt is when the connection is closed if it is still idle.
+	expiresAt time.Time
 }
 
-// take returns an idle connection to the address that seems alive, or nil.
+// take removes an idle connection to the address that appears intact from the
+// pool and returns it, or nil if there is none.
 func (p *Pool) take(address string) *conn {
 	for {
 		c := p.pop(address)
 		if c == nil {
 			return nil
 		}
-		if p.clock.Now().Before(c.until) && quiet(c.Conn) {
+		if p.clock.Now().Before(c.expiresAt) && isIntact(c.Conn) {
 			return c
 		}
 		_ = c.Close()
@@ -97,53 +100,53 @@
 		_ = c.Close()
 		return
 	}
-	c.until = p.clock.Now().Add(idle)
+	c.expiresAt = p.clock.Now().Add(idle)
 	c.reused = true
-	if !p.keep(address, c) {
+	if !p.addIdle(address, c) {
 		_ = c.Close()
 	}
 	p.sweep()
 }
 
-// keep adds an idle connection unless there are enough.
-func (p *Pool) keep(address string, c *conn) bool {
+// addIdle adds an idle connection and reports whether the limit allowed it.
+func (p *Pool) addIdle(address string, c *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if most := int(p.maxIdle.Load()); most > 0 && len(p.idle[address]) >= most {
+	if limit := int(p.maxIdle.Load()); limit > 0 && len(p.idle[address]) >= limit {
 		return false
 	}
 	p.idle[address] = append(p.idle[address], c)
 	return true
 }
 
-// sweepInterval is the time between two searches for connections that have
-// been idle for too long.
+// sweepInterval is the minimum time between two searches for expired idle
+// connections.
 const sweepInterval = time.Second
 
-// sweep closes what has been idle for too long.
+// sweep closes expired idle connections.
 func (p *Pool) sweep() {
 	p.mu.Lock()
 	now := p.clock.Now()
-	if now.Sub(p.swept) < sweepInterval {
+	if now.Sub(p.lastSweep) < sweepInterval {
 		p.mu.Unlock()
 		return
 	}
-	p.swept = now
+	p.lastSweep = now
 	var expired []*conn
 	for address, list := range p.idle {
-		keep := list[:0]
+		kept := list[:0]
 		for _, c := range list {
-			if now.Before(c.until) {
-				keep = append(keep, c)
+			if now.Before(c.expiresAt) {
+				kept = append(kept, c)
 			} else {
 				expired = append(expired, c)
 			}
 		}
-		if len(keep) == 0 {
+		if len(kept) == 0 {
 			delete(p.idle, address)
 			continue
 		}
-		p.idle[address] = keep
+		p.idle[address] = kept
 	}
 	p.mu.Unlock()
 	for _, c := range expired {
@@ -151,8 +154,8 @@
 	}
 }
 
-// Drop closes the idle connections to an address, after one of them was found
-// silent or cut: what has lost track of one has often lost the others too.
+// Drop closes the idle connections to an address. It is called after one
+// connection was found stalled or lost, since the others often are as well.
 func (p *Pool) Drop(address string) {
 	p.mu.Lock()
 	list := p.idle[address]
@@ -163,16 +166,16 @@
 	}
 }
 
-func (p *Pool) open(ctx context.Context, address string) (*conn, error) {
+func (p *Pool) dialConn(ctx context.Context, address string) (*conn, error) {
 	c, err := p.dial(ctx, address)
 	if err != nil {
 		return nil, errors.Wrap(ErrNotSent, err.Error())
 	}
-	return p.opened(c), nil
+	return p.newConn(c), nil
 }
 
-// opened counts a new connection.
-func (p *Pool) opened(c net.Conn) *conn {
+// newConn counts a new connection and adds its reader.
+func (p *Pool) newConn(c net.Conn) *conn {
 	p.Opened.Add(1)
 	return &conn{Conn: c, reader: bufio.NewReaderSize(c, bufferSize)}
 }
--- a/internal/http1/ended.go
+++ b/internal/http1/probe.go
@@ -6,26 +6,27 @@
 	"github.com/beechhead/beechhead/internal/endpoint"
 )
 
-// Alive tells whether an idle connection to an address shows that somebody
-// listens there.
+// Alive reports whether there is an intact idle connection to an address, which
+// shows that the address has a listener.
 func (p *Pool) Alive(address string) bool {
 	c := p.take(address)
 	if c == nil {
 		return false
 	}
-	if !p.keep(address, c) {
+	if !p.addIdle(address, c) {
 		_ = c.Close()
 	}
 	return true
 }
 
-// Ended tells whether nobody listens at an address any longer: its machine
-// refuses connections. A connection that opens is kept for the next request.
+// Ended reports whether the address has no listener any more, that is, whether
+// its machine refuses connections. If a connection can be opened, it is kept
+// for the next request.
 func (p *Pool) Ended(ctx context.Context, address string) bool {
 	c, err := p.dial(ctx, address)
 	if err != nil {
 		return endpoint.IsConnectionRefused(err)
 	}
-	p.put(address, p.opened(c), defaultIdle)
+	p.put(address, p.newConn(c), defaultIdleTimeout)
 	return false
 }
--- a/internal/http1/ended_test.go
+++ b/internal/http1/probe_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Guards against taking an endpoint whose connection was lost for one that has
-// ended, and the other way round.
+// Guards against treating an endpoint that can't be reached as terminated, and
+// a terminated endpoint as reachable.
 func TestEnded(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -17,13 +17,13 @@
 	p := newTestPool()
 	address := l.Addr().String()
 	if p.Ended(context.Background(), address) {
-		t.Error("an endpoint that listens has ended")
+		t.Error("an endpoint that listens is reported as terminated")
 	}
 	if len(p.idle[address]) != 1 {
 		t.Error("the connection was not kept")
 	}
 	if !p.Alive(address) || len(p.idle[address]) != 1 {
-		t.Error("an endpoint with an idle connection is not alive, or the connection was not kept")
+		t.Error("an endpoint with an idle connection is not reported as alive, or the connection was not kept")
 	}
 	c, err := l.Accept()
 	if err != nil {
@@ -35,7 +35,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	if !p.Ended(context.Background(), address) {
-		t.Error("an endpoint that refuses connections has not ended")
+		t.Error("an endpoint that refuses connections is not reported as terminated")
 	}
 	p.dial = func(ctx context.Context, _ string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, time.Nanosecond)
@@ -44,6 +44,6 @@
 		return nil, ctx.Err()
 	}
 	if p.Ended(context.Background(), address) {
-		t.Error("an endpoint that can't be reached has ended")
+		t.Error("an endpoint that can't be reached is reported as terminated")
 	}
 }
--- a/internal/logline/limit.go
+++ b/internal/logline/limit.go
@@ -8,81 +8,82 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Bounds of the volume, per second and daemon.
+// Limits of the log volume, per second and daemon.
 const (
-	// routineRequests is how many requests have their routine decisions
-	// logged. All lines of a request are logged or none.
-	routineRequests = 3
-	// linesOfAKind bounds the lines with the same message.
-	linesOfAKind = 40
+	// sampledPerSecond is the number of requests whose routine decisions are
+	// logged. Either all lines of a request are logged or none.
+	sampledPerSecond = 3
+	// maxLinesPerMessage bounds the number of lines with the same message.
+	maxLinesPerMessage = 40
 )
 
-// Sampler picks the requests whose routine decisions are logged. It is safe
+// Sampler selects the requests whose routine decisions are logged. It is safe
 // for concurrent use.
 type Sampler struct {
 	clock clockwork.Clock
 
 	mu      sync.Mutex
 	second  int64
-	picked  int
+	sampled int
 	leftOut int64
 }
 
 // NewSampler returns a sampler.
 func NewSampler(clock clockwork.Clock) *Sampler { return &Sampler{clock: clock} }
 
-// Pick tells whether a new request's routine decisions are to be logged.
+// Pick reports whether the routine decisions of a new request are to be logged.
 func (s *Sampler) Pick() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if now := s.clock.Now().Unix(); now != s.second {
-		s.second, s.picked = now, 0
+		s.second, s.sampled = now, 0
 	}
-	if s.picked >= routineRequests {
+	if s.sampled >= sampledPerSecond {
 		s.leftOut++
 		return false
 	}
-	s.picked++
+	s.sampled++
 	return true
 }
 
-// LeftOut returns how many requests were not picked.
+// LeftOut returns the number of requests that were not selected.
 func (s *Sampler) LeftOut() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.leftOut
 }
 
-// Limiter passes on records to a handler, but no more than linesOfAKind with
-// the same message in a second. The first line of a later second says how many
-// were left out.
+// Limiter passes records to the next handler, but at most maxLinesPerMessage
+// per second with the same message. The first line with that message in a later
+// second has the number of suppressed lines in the attribute leftOutBefore.
 type Limiter struct {
 	slog.Handler
-	kinds *kinds
+	counts *messageCounts
 }
 
-// kinds counts lines by message. It is safe for concurrent use.
-type kinds struct {
+// messageCounts counts lines by message. It is safe for concurrent use.
+type messageCounts struct {
 	clock clockwork.Clock
 
-	mu    sync.Mutex
-	kinds map[string]*kind
+	mu        sync.Mutex
+	byMessage map[string]*messageCount
 }
 
-type kind struct {
+type messageCount struct {
 	second  int64
 	written int
 	leftOut int64
 }
 
-// NewLimiter returns a limiter in front of a handler.
+// NewLimiter returns a limiter in front of the handler next.
 func NewLimiter(clock clockwork.Clock, next slog.Handler) *Limiter {
-	return &Limiter{Handler: next, kinds: &kinds{clock: clock, kinds: map[string]*kind{}}}
+	return &Limiter{Handler: next, counts: &messageCounts{clock: clock, byMessage: map[string]*messageCount{}}}
 }
 
-// Handle passes a record on unless there were too many of its kind.
+// Handle passes a record to the next handler unless the limit for its message
+// is reached.
 func (l *Limiter) Handle(ctx context.Context, r slog.Record) error {
-	leftOut, ok := l.kinds.take(r.Message)
+	leftOut, ok := l.counts.allow(r.Message)
 	if !ok {
 		return nil
 	}
@@ -92,34 +93,34 @@
 	return l.Handler.Handle(ctx, r)
 }
 
-// WithAttrs returns a limiter that shares the counts.
+// WithAttrs returns a limiter that shares the line counts.
 func (l *Limiter) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return &Limiter{Handler: l.Handler.WithAttrs(attrs), kinds: l.kinds}
+	return &Limiter{Handler: l.Handler.WithAttrs(attrs), counts: l.counts}
 }
 
-// WithGroup returns a limiter that shares the counts.
+// WithGroup returns a limiter that shares the line counts.
 func (l *Limiter) WithGroup(name string) slog.Handler {
-	return &Limiter{Handler: l.Handler.WithGroup(name), kinds: l.kinds}
+	return &Limiter{Handler: l.Handler.WithGroup(name), counts: l.counts}
 }
 
-// take counts a line. It returns whether it may be written and how many of its
-// kind were left out since the last one that was.
-func (k *kinds) take(message string) (leftOut int64, ok bool) {
+// allow counts a line. It returns whether the line may be written and how many
+// lines with the same message were suppressed since the last one written.
+func (k *messageCounts) allow(message string) (leftOut int64, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	one := k.kinds[message]
-	if one == nil {
-		one = &kind{}
-		k.kinds[message] = one
+	count := k.byMessage[message]
+	if count == nil {
+		count = &messageCount{}
+		k.byMessage[message] = count
 	}
-	if now := k.clock.Now().Unix(); now != one.second {
-		one.second, one.written = now, 0
+	if now := k.clock.Now().Unix(); now != count.second {
+		count.second, count.written = now, 0
 	}
-	if one.written >= linesOfAKind {
-		one.leftOut++
+	if count.written >= maxLinesPerMessage {
+		count.leftOut++
 		return 0, false
 	}
-	one.written++
-	leftOut, one.leftOut = one.leftOut, 0
+	count.written++
+	leftOut, count.leftOut = count.leftOut, 0
 	return leftOut, true
 }
--- a/internal/logline/logline_test.go
+++ b/internal/logline/logline_test.go
@@ -12,9 +12,10 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Whoever reads the log stops reading: the pipe fills and writes to it block.
-// The daemon must go on, and count what is lost.
-func TestBlockedReaderHarmsNobody(t *testing.T) {
+// The process that reads the log stops reading, so the pipe fills and writes to
+// it block. Writing a log line must not block, and dropped lines must be
+// counted.
+func TestWriteDoesNotBlock(t *testing.T) {
 	r, w, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
@@ -29,15 +30,16 @@
 			t.Fatal(err)
 		}
 	}
-	// The pipe takes 64 KB, the queue its lines; one is being written.
-	if out.Dropped() < lines-queueLines-100 {
+	// The pipe buffers 64 KB, the queue holds queueCapacity lines, and one line
+	// is being written.
+	if out.Dropped() < lines-queueCapacity-100 {
 		t.Errorf("%d of %d lines were dropped", out.Dropped(), lines)
 	}
 	out.Close(10 * time.Millisecond)
 }
 
-// What is queued is written at the end.
-func TestCloseWritesWhatIsQueued(t *testing.T) {
+// Close writes the lines that are still queued.
+func TestCloseFlushesQueue(t *testing.T) {
 	var b bytes.Buffer
 	out := NewWriter(&b)
 	for range 100 {
@@ -49,9 +51,9 @@
 	}
 }
 
-// A storm of one kind of line must not hide the others, and the log says how
-// many were left out.
-func TestLimiterKeepsOtherKinds(t *testing.T) {
+// Many lines with one message must not suppress lines with other messages, and
+// the log states how many lines were suppressed.
+func TestLimiterCountsPerMessage(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	var b bytes.Buffer
 	logger := slog.New(NewLimiter(clock, slog.NewTextHandler(&b, nil))).With("host", "a")
@@ -62,15 +64,16 @@
 	clock.Advance(time.Second)
 	logger.Info("refused")
 	text := b.String()
-	if n := strings.Count(text, "msg=refused"); n != linesOfAKind+1 {
-		t.Errorf("%d lines of the storm, want %d", n, linesOfAKind+1)
+	if n := strings.Count(text, "msg=refused"); n != maxLinesPerMessage+1 {
+		t.Errorf("%d refused lines, want %d", n, maxLinesPerMessage+1)
 	}
 	if !strings.Contains(text, "msg=leaving") || !strings.Contains(text, "leftOutBefore=60") {
 		t.Errorf("the log has %s", text)
 	}
 }
 
-// TestSampler: a few requests a second are picked, and the others counted.
+// The sampler selects a fixed number of requests per second and counts the
+// others.
 func TestSampler(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	s := NewSampler(clock)
@@ -83,13 +86,13 @@
 		}
 		clock.Advance(time.Second)
 	}
-	if picked != 3*routineRequests || s.LeftOut() != 150-3*routineRequests {
+	if picked != 3*sampledPerSecond || s.LeftOut() != 150-3*sampledPerSecond {
 		t.Errorf("%d picked, %d left out", picked, s.LeftOut())
 	}
 }
 
-// BenchmarkLine is the cost of one line: 0.7 µs on the machine of
-// docs/MEASUREMENTS.md.
+// BenchmarkLine measures the cost of one log line: 0.7 µs on the machine
+// described in docs/MEASUREMENTS.md.
 func BenchmarkLine(b *testing.B) {
 	out := NewWriter(io.Discard)
 	logger := slog.New(NewLimiter(clockwork.NewRealClock(), slog.NewJSONHandler(out, nil)))
--- a/internal/logline/story.go
+++ b/internal/logline/trace.go
@@ -14,54 +14,58 @@
 	"github.com/go-faster/errors"
 )
 
-// maxLogLine bounds one line of a log, in bytes.
-const maxLogLine = 1 << 20
+// maxLineSize bounds a line of a log, in bytes.
+const maxLineSize = 1 << 20
 
-// Entry is one line of a log.
+// Entry is a parsed line of a log.
 type Entry struct {
 	Time    time.Time
 	Host    string
 	Level   string
 	Message string
-	// Fields has the others as they are written.
+	// Fields has the remaining attributes, formatted as text.
 	Fields map[string]string
 }
 
-// Story is what logs say of one request.
+// Story has the log lines of one request and the state changes of the hosts
+// that handled it.
 type Story struct {
-	// Request is its id, or the fingerprint that all attempts of a caller have.
+	// Request is the request's id, or the fingerprint that all attempts of a
+	// caller share.
 	Request string
-	// Entries are in order of time.
+	// Entries are the request's lines, ordered by time.
 	Entries []Entry
-	// Around are the changes of what the hosts believed, from contextBefore
-	// before the first entry to the last one.
+	// Around are the state changes of the request's hosts, from contextBefore
+	// before its first line until its last line.
 	Around []Entry
-	// Lines counts all lines, Broken those that could not be read.
+	// Lines counts all lines, Broken those that could not be parsed.
 	Lines, Broken int
 }
 
-// contextBefore is how long before a request's first line changes are shown:
-// what a daemon believed then decided about the request.
+// contextBefore is how long before a request's first line state changes are
+// included, since the state that a daemon had then determined its decisions
+// about the request.
 const contextBefore = 5 * time.Second
 
-// beliefs are the messages that tell of a change of what a daemon believes, or
-// of a dependency that was lost or came back.
-var beliefs = map[string]bool{
+// stateChanges are the messages that log a change of a daemon's own state, of
+// its view of other hosts, of its configuration or quarantine, or of the
+// availability of the store.
+var stateChanges = map[string]bool{
 	"started": true, "leaving": true, "left": true, "facts in force": true, "store lost": true, "store regained": true,
 	"store came back from a copy": true, "request quarantined": true, "request released": true,
 	"host gone": true, "this daemon was paused": true, "settings reloaded": true, "settings not reloaded": true,
 	"configuration not taken": true, "requests are cut off": true,
 }
 
-// Tell reads logs and returns the story of one request, by its id, or by the
-// fingerprint that all attempts of a caller at it have. What stands before the
-// JSON object of a line is passed over, as other programs put times there.
+// Tell reads logs and returns the lines of one request, selected by its id or
+// by the fingerprint that all attempts of a caller share. Text before the JSON
+// object of a line, such as a timestamp added by another program, is skipped.
 func Tell(request string, logs ...io.Reader) (*Story, error) {
 	s := &Story{Request: request}
-	var all []Entry
+	var changes []Entry
 	for _, log := range logs {
 		lines := bufio.NewScanner(log)
-		lines.Buffer(nil, maxLogLine)
+		lines.Buffer(nil, maxLineSize)
 		for lines.Scan() {
 			s.Lines++
 			e, ok := parseEntry(lines.Bytes())
@@ -72,24 +76,24 @@
 			switch {
 			case e.Fields["request"] == request, e.Fields["fingerprint"] == request:
 				s.Entries = append(s.Entries, e)
-			case beliefs[e.Message]:
-				all = append(all, e)
+			case stateChanges[e.Message]:
+				changes = append(changes, e)
 			}
 		}
 		if err := lines.Err(); err != nil {
 			return nil, errors.Wrap(err, "read log")
 		}
 	}
-	byTime := func(a, b Entry) int { return a.Time.Compare(b.Time) }
-	slices.SortStableFunc(s.Entries, byTime)
-	slices.SortStableFunc(all, byTime)
-	s.keepAround(all)
+	compareTimes := func(a, b Entry) int { return a.Time.Compare(b.Time) }
+	slices.SortStableFunc(s.Entries, compareTimes)
+	slices.SortStableFunc(changes, compareTimes)
+	s.addContext(changes)
 	return s, nil
 }
 
-// keepAround keeps the changes of belief around the request, of the hosts that
-// the request's lines name.
-func (s *Story) keepAround(all []Entry) {
+// addContext adds the state changes around the request, on the hosts that the
+// request's lines name.
+func (s *Story) addContext(changes []Entry) {
 	if len(s.Entries) == 0 {
 		return
 	}
@@ -100,14 +104,15 @@
 	}
 	from := s.Entries[0].Time.Add(-contextBefore)
 	to := s.Entries[len(s.Entries)-1].Time
-	for _, e := range all {
+	for _, e := range changes {
 		if hosts[e.Host] && !e.Time.Before(from) && !e.Time.After(to) {
 			s.Around = append(s.Around, e)
 		}
 	}
 }
 
-// parseEntry reads one line; false if it is none of ours.
+// parseEntry parses a line; it returns false if the line is not one of a
+// daemon's log.
 func parseEntry(line []byte) (Entry, bool) {
 	start := bytes.IndexByte(line, '{')
 	if start < 0 {
@@ -136,7 +141,8 @@
 	return e, true
 }
 
-// Write prints the story, with times from the first line on.
+// Write prints the request's lines and the state changes, with times relative
+// to the request's first line.
 func (s *Story) Write(w io.Writer) {
 	if len(s.Entries) == 0 {
 		fmt.Fprintf(w, "no line of %d has the request %s\n", s.Lines, s.Request)
@@ -144,24 +150,25 @@
 	}
 	begin := s.Entries[0].Time
 	fmt.Fprintf(w, "request %s, from %s\n", s.Request, begin.Format(time.RFC3339Nano))
-	show := func(e Entry) {
+	writeEntry := func(e Entry) {
 		fmt.Fprintf(w, "%+9.3f s  %-12s  %-18s  %s\n", e.Time.Sub(begin).Seconds(), e.Host, e.Message, e.details(s.Request))
 	}
 	for _, e := range s.Entries {
-		show(e)
+		writeEntry(e)
 	}
 	if len(s.Around) > 0 {
-		fmt.Fprintln(w, "what the hosts believed:")
+		fmt.Fprintln(w, "state changes on its hosts:")
 	}
 	for _, e := range s.Around {
-		show(e)
+		writeEntry(e)
 	}
 	if s.Broken > 0 {
-		fmt.Fprintf(w, "%d of %d lines could not be read\n", s.Broken, s.Lines)
+		fmt.Fprintf(w, "%d of %d lines could not be parsed\n", s.Broken, s.Lines)
 	}
 }
 
-// details returns the fields but for the one that all lines share.
+// details formats the fields, without empty ones and without those that have
+// the value shared.
 func (e *Entry) details(shared string) string {
 	var parts []string
 	for _, name := range slices.Sorted(maps.Keys(e.Fields)) {
--- a/internal/logline/story_test.go
+++ b/internal/logline/trace_test.go
@@ -21,8 +21,9 @@
 {"broken
 `
 
-// TestTell: the lines of one request from several logs in order of time, with
-// what its hosts believed around it; broken lines are counted.
+// The lines of a request are collected from several logs, ordered by time,
+// together with the state changes on its hosts. Lines that can't be parsed are
+// counted.
 func TestTell(t *testing.T) {
 	s, err := Tell("r1", strings.NewReader(logA), strings.NewReader(logB))
 	if err != nil {
@@ -33,7 +34,7 @@
 	goldie.New(t).Assert(t, "story", b.Bytes())
 }
 
-// TestTellUnknown: a request without lines is said to have none.
+// A request without any lines is reported as such.
 func TestTellUnknown(t *testing.T) {
 	s, err := Tell("none", strings.NewReader(logA))
 	if err != nil {
@@ -46,8 +47,8 @@
 	}
 }
 
-// Repeats of one request have ids of their own; their fingerprint brings the
-// lines of all of them together.
+// Repeats of a request have different ids; the fingerprint selects the lines of
+// all of them.
 func TestTellFingerprint(t *testing.T) {
 	log := `{"time":"2026-01-01T00:00:10Z","msg":"attempt failed","host":"a","request":"r1","fingerprint":"f"}
 {"time":"2026-01-01T00:00:11Z","msg":"attempt failed","host":"b","request":"r2","fingerprint":"f"}
--- a/internal/logline/writer.go
+++ b/internal/logline/writer.go
@@ -1,6 +1,7 @@
-// Package logline writes log lines without ever making a request wait: they
-// pass through a bounded queue, and what does not fit is counted and left out.
-// It also decides which requests have their routine decisions logged.
+// Package logline writes log lines without blocking requests: lines pass
+// through a bounded queue, and lines that do not fit are dropped and counted.
+// It also limits the log volume, and collects the lines of one request from
+// logs.
 package logline
 
 import (
@@ -10,16 +11,16 @@
 	"time"
 )
 
-// queueLines bounds the lines that wait to be written. At a few hundred bytes
-// a line it holds less than half a megabyte.
-const queueLines = 1024
+// queueCapacity bounds the lines that wait to be written. At a few hundred
+// bytes per line, a full queue holds less than half a megabyte.
+const queueCapacity = 1024
 
 // Writer queues lines for a goroutine that writes them. It is safe for
 // concurrent use.
 //
-// Failure: whatever reads the log stops reading, the pipe fills, and a write
-// blocks for good; a daemon that logs as it answers stands still. The guard:
-// only the goroutine ever waits for the pipe.
+// If the process that reads the log stops reading, the pipe fills and writes to
+// it block indefinitely. Only the writing goroutine waits for the pipe, so that
+// the daemon goes on answering requests.
 type Writer struct {
 	out     io.Writer
 	lines   chan []byte
@@ -28,14 +29,14 @@
 	done    chan struct{}
 }
 
-// NewWriter returns a writer to out.
+// NewWriter returns a Writer that writes to out.
 func NewWriter(out io.Writer) *Writer {
-	w := &Writer{out: out, lines: make(chan []byte, queueLines), done: make(chan struct{})}
+	w := &Writer{out: out, lines: make(chan []byte, queueCapacity), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write queues one line, or drops it. It never fails.
+// Write queues a line, or drops it if the queue is full. It always succeeds.
 func (w *Writer) Write(line []byte) (int, error) {
 	copied := append([]byte(nil), line...)
 	select {
@@ -46,23 +47,24 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines were left out because the queue was full.
+// Dropped returns the number of lines that were dropped because the queue was
+// full.
 func (w *Writer) Dropped() int64 { return w.dropped.Load() }
 
 func (w *Writer) run() {
 	defer close(w.done)
 	for line := range w.lines {
-		// An error means that nobody reads the log any longer.
+		// Errors are ignored: the process that reads the log is gone.
 		_, _ = w.out.Write(line)
 	}
 }
 
-// Close writes what is queued, for at most that long. The writer must not be
+// Close writes the queued lines, for at most timeout. The writer must not be
 // used afterwards.
-func (w *Writer) Close(most time.Duration) {
+func (w *Writer) Close(timeout time.Duration) {
 	w.once.Do(func() { close(w.lines) })
 	select {
 	case <-w.done:
-	case <-time.After(most):
+	case <-time.After(timeout):
 	}
 }
--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -1,5 +1,5 @@
-// Package metric holds the daemon's counters and gauges, kept in a go-metrics
-// registry and served as JSON.
+// Package metric holds the daemon's counters, gauges and histograms in a
+// go-metrics registry, and writes them as JSON or in Prometheus' text format.
 package metric
 
 import (
@@ -11,12 +11,12 @@
 	"github.com/beechhead/beechhead/internal/outcome"
 )
 
-// Registry is the set of figures of one daemon. It is safe for concurrent use.
+// Registry is the set of metrics of one daemon. It is safe for concurrent use.
 type Registry struct {
 	r gometrics.Registry
 
 	mu sync.Mutex
-	// classes has those with histograms of their own.
+	// classes are the request classes that have histograms of their own.
 	classes map[string]bool
 }
 
@@ -25,63 +25,65 @@
 	return &Registry{r: gometrics.NewRegistry(), classes: map[string]bool{}}
 }
 
-// Add adds n to the counter of that name.
+// Add adds n to a counter.
 func (r *Registry) Add(name string, n int64) {
 	gometrics.GetOrRegisterCounter(name, r.r).Inc(n)
 }
 
-// Counter returns the counter of that name, for those who count often.
+// Counter returns a counter, so that frequent updates need no lookup by name.
 func (r *Registry) Counter(name string) gometrics.Counter {
 	return gometrics.GetOrRegisterCounter(name, r.r)
 }
 
-// Inc adds one to the counter of that name.
+// Inc adds one to a counter.
 func (r *Registry) Inc(name string) { r.Add(name, 1) }
 
-// Count returns the counter's value.
+// Count returns the value of a counter.
 func (r *Registry) Count(name string) int64 {
 	return gometrics.GetOrRegisterCounter(name, r.r).Count()
 }
 
-// Set sets the gauge of that name.
+// Set sets a gauge.
 func (r *Registry) Set(name string, v int64) {
 	gometrics.GetOrRegisterGauge(name, r.r).Update(v)
 }
 
-// sampleSize is how many of the newest values a histogram keeps. A few hundred
-// tell the 99th percentile, and there is a histogram for each class.
+// sampleSize is the number of values that a histogram's sample holds. A few
+// hundred suffice for the 99th percentile, and there is a histogram for each
+// class, so the sample is kept small.
 const sampleSize = 256
 
-// Observe adds a value to the histogram of that name.
+// Observe adds a value to a histogram.
 func (r *Registry) Observe(name string, v int64) {
-	made := func() gometrics.Histogram {
+	newHistogram := func() gometrics.Histogram {
 		return gometrics.NewHistogram(gometrics.NewUniformSample(sampleSize))
 	}
-	h, ok := r.r.GetOrRegister(name, made).(gometrics.Histogram)
+	h, ok := r.r.GetOrRegister(name, newHistogram).(gometrics.Histogram)
 	if ok {
 		h.Update(v)
 	}
 }
 
-// maxClasses bounds the classes with histograms of their own. Routes come and
-// go, and the registry forgets none.
+// maxClasses bounds the classes that have histograms of their own, since routes
+// come and go and the registry never removes a metric.
 const maxClasses = 64
 
-// otherClass stands for the classes beyond that.
+// otherClass is the label for all classes beyond maxClasses.
 const otherClass = "other"
 
-// ObserveClass adds a value to the histogram of that name and to that of a
-// class of requests.
+// ObserveClass adds a value to a histogram and to the histogram of a request
+// class with the same name.
 func (r *Registry) ObserveClass(name, class string, v int64) {
 	r.Observe(name, v)
-	r.Observe(name+classMark+r.knownClass(class), v)
+	r.Observe(name+classSeparator+r.classLabel(class), v)
 }
 
-// classMark stands between a figure's name and the class that it is told for.
-const classMark = "|"
+// classSeparator separates the metric's name from the class in the name of a
+// class histogram.
+const classSeparator = "|"
 
-// knownClass returns the class, or otherClass if there are too many.
-func (r *Registry) knownClass(class string) string {
+// classLabel returns the class, or otherClass if maxClasses is reached.
+func (r *Registry) classLabel(class string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.classes[class] || len(r.classes) < maxClasses {
@@ -91,13 +93,13 @@
 	return otherClass
 }
 
-// Refused counts a refusal by its reason.
+// Refused counts a refusal under its reason.
 func (r *Registry) Refused(reason outcome.Reason) { r.Inc("refused." + string(reason)) }
 
-// Retried counts a retry by its reason.
+// Retried counts a retry under its reason.
 func (r *Registry) Retried(reason outcome.Reason) { r.Inc("retried." + string(reason)) }
 
-// Counters returns every counter by name.
+// Counters returns the values of all counters and gauges by name.
 func (r *Registry) Counters() map[string]int64 {
 	counts := map[string]int64{}
 	r.r.Each(func(name string, v any) {
@@ -111,7 +113,7 @@
 	return counts
 }
 
-// WriteJSON writes every figure as one JSON object.
+// WriteJSON writes all metrics as one JSON object.
 func (r *Registry) WriteJSON(w io.Writer) {
 	gometrics.WriteJSONOnce(r.r, w)
 }
--- a/internal/metric/metric_test.go
+++ b/internal/metric/metric_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// An operator looks for the class that is late. Routes come and go, so that the
-// number of classes told apart must be bounded.
+// Histograms have a label for the class, so that operators can find the class
+// that is late. Routes come and go, so the number of labels must be bounded.
 func TestHistogramsByClass(t *testing.T) {
 	r := metric.NewRegistry()
 	r.ObserveClass("wait.ms", "chat/0", 7)
@@ -59,6 +59,6 @@
 		t.Fatal(err)
 	}
 	if n := strings.Count(out.String(), "by_class_count"); n != 65 {
-		t.Errorf("%d classes are told apart, want 64 and one for the others", n)
+		t.Errorf("%d classes have a label, want 64 and one for the others", n)
 	}
 }
--- a/internal/metric/prometheus.go
+++ b/internal/metric/prometheus.go
@@ -14,15 +14,15 @@
 // PrometheusType is the content type of Prometheus' text format.
 const PrometheusType = "text/plain; version=0.0.4; charset=utf-8"
 
-// reasonKinds are the families of counters whose last part is a reason.
-var reasonKinds = []string{"refused", "retried"}
+// reasonFamilies are the counter families whose names end in a reason.
+var reasonFamilies = []string{"refused", "retried"}
 
-// WritePrometheus writes every counter and gauge in Prometheus' text format.
-// The reasons of refusals and retries become a label.
+// WritePrometheus writes all metrics in Prometheus' text format. The reasons of
+// refusals and retries become labels.
 func (r *Registry) WritePrometheus(w io.Writer) error {
 	families := map[string][]string{}
 	r.r.Each(func(name string, v any) {
-		name, class, ofClass := strings.Cut(name, classMark)
+		name, class, ofClass := strings.Cut(name, classSeparator)
 		family, labels := prometheusName(name)
 		switch m := v.(type) {
 		case gometrics.Counter:
@@ -52,14 +52,14 @@
 	return out.Flush()
 }
 
-// quantiles are those that a histogram is told by.
+// quantiles are the quantiles reported for a histogram.
 var quantiles = []float64{0.5, 0.95, 0.99}
 
-// summary returns a histogram's lines, with a label if there is one.
+// summary returns the lines of a histogram, with a label unless it is empty.
 func summary(family, label string, h gometrics.Histogram) []string {
 	var lines []string
 	for i, v := range h.Percentiles(quantiles) {
-		lines = append(lines, fmt.Sprintf("%s{%s} %g", family, join(label, fmt.Sprintf("quantile=\"%g\"", quantiles[i])), v))
+		lines = append(lines, fmt.Sprintf("%s{%s} %g", family, joinLabels(label, fmt.Sprintf("quantile=\"%g\"", quantiles[i])), v))
 	}
 	if label != "" {
 		label = "{" + label + "}"
@@ -67,16 +67,17 @@
 	return append(lines, fmt.Sprintf("%s_sum%s %d", family, label, h.Sum()), fmt.Sprintf("%s_count%s %d", family, label, h.Count()))
 }
 
-func join(label, other string) string {
+func joinLabels(label, other string) string {
 	if label == "" {
 		return other
 	}
 	return label + "," + other
 }
 
-// prometheusName returns the name of a figure as Prometheus allows it.
+// prometheusName converts a metric's name to a valid Prometheus name and its
+// labels.
 func prometheusName(name string) (family, labels string) {
-	for _, kind := range reasonKinds {
+	for _, kind := range reasonFamilies {
 		if reason, ok := strings.CutPrefix(name, kind+"."); ok {
 			return "beechhead_" + kind, fmt.Sprintf("{reason=%q}", reason)
 		}
--- a/internal/service/client.go
+++ b/internal/service/client.go
@@ -1,5 +1,5 @@
-// Package service speaks to plain services: it passes method, path, query,
-// headers and body through unchanged, and the answer back.
+// Package service forwards calls to plain services: method, path, query,
+// headers and body unchanged, and the response back to the caller.
 package service
 
 import (
@@ -14,30 +14,30 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// Errors that tell how far a call went. All but ErrNotSent leave open whether
-// the service executed the request.
+// Errors that tell how far a call got. After any of them but ErrNotSent, the
+// service may have executed the request.
 var (
-	// ErrNotSent says that no byte of the request was written.
+	// ErrNotSent means that no byte of the request was written.
 	ErrNotSent = endpoint.ErrNotSent
-	// ErrUnknown says that no answer came.
+	// ErrUnknown means that no response was received.
 	ErrUnknown = errors.New("no answer from the service")
-	// ErrSilent says that the answer did not begin within its deadline.
+	// ErrSilent means that the response did not begin before its deadline.
 	ErrSilent = endpoint.ErrSilent
-	// ErrTruncated says that the answer ended before its length, or that it
-	// gave no length to check it by.
+	// ErrTruncated means that the response ended before its stated length, or
+	// that it has no length by which to detect truncation.
 	ErrTruncated = errors.New("the service's answer is cut off")
-	// ErrWrongAnswer says that the answer belongs to another request.
+	// ErrWrongAnswer means that the response belongs to another request.
 	ErrWrongAnswer = errors.New("the service answered another request")
-	// ErrTooLarge says that the answer exceeds what is passed on.
+	// ErrTooLarge means that the response exceeds the size limit.
 	ErrTooLarge = errors.New("the service's answer is too large")
 )
 
 const headerRequestID = "X-Request-Id"
 
-// maxAnswer is in bytes.
-const maxAnswer = 64 << 20
+// maxResponseBody bounds the body of a response, in bytes.
+const maxResponseBody = 64 << 20
 
-// Request is one call.
+// Request is a call of a service.
 type Request struct {
 	ID     string
 	Method string
@@ -45,51 +45,53 @@
 	Path   string
 	Header http.Header
 	Body   []byte
-	// Idempotent calls may be sent twice: again over a new connection when a
-	// reused one dies before the answer.
+	// Idempotent calls may be sent twice: they are repeated on a new connection
+	// if a reused one is lost before the response.
 	Idempotent bool
-	// MayRepeat is asked before that; nil always allows it.
+	// MayRepeat is called before a repeat and reports whether it is allowed;
+	// nil always allows it.
 	MayRepeat func() bool
-	// FirstByte bounds the time until the answer begins; zero leaves it to
-	// Timeout.
+	// FirstByte bounds the time until the response begins; if zero, only
+	// Timeout applies.
 	FirstByte time.Duration
 	// Timeout bounds the whole call.
 	Timeout time.Duration
 }
 
-// Response is the whole answer.
+// Response is a complete response.
 type Response struct {
 	Status int         `json:"status"`
 	Header http.Header `json:"header"`
 	Body   []byte      `json:"body"`
-	// Replayed marks the stored answer of an earlier call.
+	// Replayed marks the stored response to an earlier call.
 	Replayed bool `json:"-"`
 }
 
 // Client calls services. It is safe for concurrent use.
 type Client struct {
 	sender *endpoint.Sender
-	// maxAnswer is in bytes.
-	maxAnswer int64
+	// maxBody bounds the body of a response, in bytes.
+	maxBody int64
 }
 
 // NewClient returns a client.
 func NewClient(sender *endpoint.Sender) *Client {
-	return &Client{sender: sender, maxAnswer: maxAnswer}
+	return &Client{sender: sender, maxBody: maxResponseBody}
 }
 
-// Do sends a request, at most once unless it is idempotent. An answer of any status is an execution.
+// Do sends a request, at most once unless it is idempotent. A response with any
+// status counts as an execution.
 func (c *Client) Do(ctx context.Context, e *table.Endpoint, r Request) (resp *Response, err error) {
 	ctx, cancel := context.WithTimeout(ctx, r.Timeout)
 	defer cancel()
-	answer, err := c.sender.Send(ctx, endpoint.Request{
+	response, err := c.sender.Send(ctx, endpoint.Request{
 		Method: r.Method, URL: e.URL + r.Path, Header: requestHeader(r), Body: r.Body,
 		Pooled: r.Idempotent, Repeatable: r.Idempotent, MayRepeat: r.MayRepeat, FirstByte: r.FirstByte,
 	})
 	if err != nil {
 		return nil, sendError(err)
 	}
-	return c.read(e, r.ID, answer)
+	return c.readResponse(e, r.ID, response)
 }
 
 func requestHeader(r Request) http.Header {
@@ -109,31 +111,32 @@
 	return errors.Wrap(ErrUnknown, err.Error())
 }
 
-// read checks the answer and reads it whole.
-func (c *Client) read(e *table.Endpoint, id string, answer *endpoint.Response) (*Response, error) {
-	if e.EchoesID && answer.Header.Get(headerRequestID) != id {
-		answer.Discard()
+// readResponse validates the response and reads its body.
+func (c *Client) readResponse(e *table.Endpoint, id string, response *endpoint.Response) (*Response, error) {
+	if e.EchoesID && response.Header.Get(headerRequestID) != id {
+		response.Discard()
 		return nil, ErrWrongAnswer
 	}
-	if !lengthKnown(answer.Response) {
-		answer.Discard()
+	if !hasVerifiableLength(response.Response) {
+		response.Discard()
 		return nil, errors.Wrap(ErrTruncated, "neither Content-Length nor chunks")
 	}
-	body, err := io.ReadAll(io.LimitReader(answer.Body, c.maxAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(response.Body, c.maxBody+1))
 	if err != nil {
-		answer.Discard()
+		response.Discard()
 		return nil, errors.Wrap(ErrTruncated, err.Error())
 	}
-	if int64(len(body)) > c.maxAnswer {
-		answer.Discard()
+	if int64(len(body)) > c.maxBody {
+		response.Discard()
 		return nil, ErrTooLarge
 	}
-	answer.Close()
-	return &Response{Status: answer.StatusCode, Header: EndToEnd(answer.Header), Body: body}, nil
+	response.Close()
+	return &Response{Status: response.StatusCode, Header: EndToEnd(response.Header), Body: body}, nil
 }
 
-// lengthKnown tells whether a truncated body would be noticed. A body that
-// ends with its connection looks complete wherever it breaks off.
-func lengthKnown(resp *http.Response) bool {
+// hasVerifiableLength reports whether truncation of the body can be detected.
+// If the end of the body is only marked by the end of the connection, a
+// truncated body looks complete.
+func hasVerifiableLength(resp *http.Response) bool {
 	return resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 }
--- a/internal/service/faults_test.go
+++ b/internal/service/faults_test.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	// refuseDial is the point before any connection.
+	// refuseDial means that no connection can be opened.
 	refuseDial standin.BreakPoint = "refuseDial"
-	// nobodyListens is a port that no test can have been given.
+	// nobodyListens has a port that no test can have been assigned.
 	nobodyListens = "http://127.0.0.1:1"
 )
 
-type faultTable struct {
+type faultCases struct {
 	Requests []faultRequest `json:"requests"`
 	Points   []faultPoint   `json:"points"`
 }
@@ -38,18 +38,18 @@
 
 type faultPoint struct {
 	Point standin.BreakPoint `json:"point"`
-	// Error is empty for a whole answer.
+	// Error is empty if the response is complete.
 	Error      string `json:"error"`
 	Executions int    `json:"executions"`
 	// Status is 200 if zero.
 	Status int `json:"status"`
 }
 
-// A clerk's booking is sent, and the connection to the service breaks at some
-// point of the exchange. The clerk must read "not run" only when the service
-// never had a byte of it, and the service must not have run it twice, also
-// where net/http would by itself repeat the request after a reused connection
-// died: requests that look idempotent or carry an Idempotency-Key.
+// A request is sent, and the connection to the service fails at some point of
+// the exchange. The caller may be told "not run" only if the service received
+// no byte of the request. The service must not execute the request twice, even
+// where net/http would repeat it by itself after a reused connection is lost:
+// requests that look idempotent or carry an Idempotency-Key.
 func TestEveryPointOfFailure(t *testing.T) {
 	for _, warm := range []bool{false, true} {
 		for _, idempotent := range []bool{false, true} {
@@ -65,17 +65,18 @@
 	}
 }
 
-// silence is how long a service may be silent. On a busy machine it takes a
-// few hundred milliseconds until the answer that then stops has begun.
-const silence = time.Second
+// silenceTimeout is the deadline for a service that stops responding. On a
+// loaded machine, it takes a few hundred milliseconds until the response that
+// then stops has begun.
+const silenceTimeout = time.Second
 
-func readFaults(t *testing.T) faultTable {
+func readFaults(t *testing.T) faultCases {
 	t.Helper()
 	data, err := os.ReadFile("testdata/faults.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var f faultTable
+	var f faultCases
 	if err := json.Unmarshal(data, &f); err != nil {
 		t.Fatal(err)
 	}
@@ -83,7 +84,7 @@
 }
 
 func testFault(t *testing.T, r faultRequest, p faultPoint, warm, idempotent bool) {
-	b := newBreaking(t)
+	b := startFaultyService(t)
 	client := service.NewClient(endpoint.NewSender(endpoint.NewTransport()))
 	e := &table.Endpoint{URL: b.URL(), EchoesID: true}
 	before := 0
@@ -109,7 +110,8 @@
 	}
 	want := p.Executions
 	if warm && idempotent && r.pooled() && (p.Error == "unknown" || p.Error == "silent") {
-		// Sent again over a new connection, as an idempotent one may be.
+		// Repeated on a new connection, which is allowed for idempotent
+		// requests.
 		want *= 2
 	}
 	if n, _ := b.Counts(); n-before != want {
@@ -117,7 +119,7 @@
 	}
 }
 
-// pooled tells whether an idempotent request may go over a reused connection.
+// pooled reports whether an idempotent request may use a pooled connection.
 func (r faultRequest) pooled() bool {
 	return r.Body != "" || r.Method != http.MethodPost && r.Method != http.MethodPut
 }
@@ -129,7 +131,8 @@
 	return p.Status
 }
 
-// request has deadlines that only a silent endpoint reaches.
+// request returns the request with deadlines that only an unresponsive endpoint
+// exceeds.
 func request(r faultRequest, p faultPoint) service.Request {
 	req := service.Request{ID: "r-1", Method: r.Method, Path: "/slots?day=1", Header: http.Header{}, Body: []byte(r.Body), Timeout: time.Minute}
 	if r.Key != "" {
@@ -137,9 +140,9 @@
 	}
 	switch p.Point {
 	case standin.SilentAfterBody:
-		req.FirstByte = silence
+		req.FirstByte = silenceTimeout
 	case standin.SilentMidAnswer:
-		req.Timeout = silence
+		req.Timeout = silenceTimeout
 	}
 	return req
 }
@@ -159,7 +162,7 @@
 	return ""
 }
 
-func newBreaking(t *testing.T) *standin.Breaking {
+func startFaultyService(t *testing.T) *standin.Breaking {
 	t.Helper()
 	b, err := standin.NewBreaking(`{"slots":["09:00","10:30"]}`, "application/json")
 	if err != nil {
@@ -169,11 +172,11 @@
 	return b
 }
 
-// A booking's late second answer waits on a connection when the next caller's
-// request goes out on it. The next caller must get its own answer or an
-// explicit error, never the other one's.
-func TestLateAnswerReachesNobody(t *testing.T) {
-	b := newBreaking(t)
+// A second response to an earlier request is still unread on a connection when
+// the next caller's request is sent on it. The next caller must get its own
+// response or an error, never the other response.
+func TestLateResponseIsNotDelivered(t *testing.T) {
+	b := startFaultyService(t)
 	client := service.NewClient(endpoint.NewSender(endpoint.NewTransport()))
 	e := &table.Endpoint{URL: b.URL(), EchoesID: true}
 	b.SetPoint(standin.SecondAnswer)
@@ -181,15 +184,16 @@
 		id := fmt.Sprintf("r-%d", i)
 		resp, err := client.Do(t.Context(), e, service.Request{ID: id, Method: http.MethodGet, Path: "/", Idempotent: true, Timeout: time.Minute})
 		if err == nil && resp.Header.Get("X-Request-Id") != id {
-			t.Fatalf("request %s got the answer of %s", id, resp.Header.Get("X-Request-Id"))
+			t.Fatalf("request %s got the response to %s", id, resp.Header.Get("X-Request-Id"))
 		}
 	}
 }
 
-// A caller hangs up while its answer comes. Its connection must not serve the
-// next caller, who would read the rest of the first one's answer.
-func TestCallerGoneMidAnswer(t *testing.T) {
-	b := newBreaking(t)
+// A caller disconnects while it receives a response. The connection to the
+// service must not be reused for the next caller, who would read the rest of
+// the first response.
+func TestCallerDisconnectsMidResponse(t *testing.T) {
+	b := startFaultyService(t)
 	client := service.NewClient(endpoint.NewSender(endpoint.NewTransport()))
 	e := &table.Endpoint{URL: b.URL(), EchoesID: true}
 	b.SetPoint(standin.SilentMidAnswer)
@@ -204,7 +208,7 @@
 	}
 	cancel()
 	if err := <-ended; err == nil {
-		t.Error("the caller that hung up got an answer")
+		t.Error("the disconnected caller got a response")
 	}
 	b.SetPoint(standin.BreakNowhere)
 	resp, err := client.Do(t.Context(), e, service.Request{ID: "next", Method: http.MethodGet, Path: "/", Idempotent: true, Timeout: time.Minute})
--- a/internal/service/header.go
+++ b/internal/service/header.go
@@ -5,16 +5,15 @@
 	"strings"
 )
 
-// hopByHop are the headers that concern one connection only (RFC 9110, 7.6.1),
-// and Expect, which the daemon has answered itself when it read the body.
+// hopByHop are the headers that apply to a single connection (RFC 9110, 7.6.1),
+// and Expect, which the daemon has already handled when it read the body.
 var hopByHop = []string{
 	"Expect",
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// EndToEnd returns a copy of the headers without those that concern one
-// connection only.
+// EndToEnd returns a copy of the headers without the hop-by-hop ones.
 func EndToEnd(h http.Header) http.Header {
 	out := h.Clone()
 	if out == nil {
