--- a/internal/beacon/beacon.go
+++ b/internal/beacon/beacon.go
@@ -1,5 +1,5 @@
-// Package beacon carries small datagrams between daemons: each tells what its
-// sender knows and how fresh it is. A lost one does no harm, since the next
+// Package beacon sends small datagrams between daemons. Each states what its
+// sender knows and how recent that is. Losing one does no harm, since the next
 // follows within a second, and a datagram costs a fraction of a call.
 package beacon
 
@@ -14,7 +14,8 @@
 	"github.com/beechhead/beechhead/internal/peer/peerv1"
 )
 
-// maxSize bounds a datagram, in bytes; beacons have about a hundred.
+// maxSize is the maximum size of a datagram in bytes; beacons have about a
+// hundred.
 const maxSize = 1200
 
 // Conn sends and receives beacons. It is safe for concurrent use.
@@ -23,11 +24,11 @@
 	port uint16
 }
 
-// Listen opens the port on an address.
+// Listen opens a UDP socket at an IP address and port.
 func Listen(ip string, port int) (c *Conn, err error) {
 	addr, err := netip.ParseAddr(ip)
 	if err != nil {
-		return nil, errors.Wrap(err, "beacon address")
+		return nil, errors.Wrap(err, "parse beacon address")
 	}
 	at := netip.AddrPortFrom(addr, uint16(port))
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(at))
@@ -37,8 +38,8 @@
 	return &Conn{conn: conn, port: uint16(port)}, nil
 }
 
-// Send sends a beacon to the hosts of peer addresses. What can't be sent is
-// lost, as datagrams are.
+// Send sends a beacon to the hosts of the given peer addresses. Failures to
+// send are ignored, since datagrams may be lost anyway.
 func (c *Conn) Send(addresses []string, b *peerv1.Beacon) error {
 	data, err := proto.Marshal(b)
 	if err != nil {
@@ -54,7 +55,7 @@
 	return nil
 }
 
-// Receive gives each beacon to handle until ctx ends.
+// Receive calls handle with each beacon received until ctx is cancelled.
 func (c *Conn) Receive(ctx context.Context, handle func(*peerv1.Beacon)) {
 	stop := context.AfterFunc(ctx, func() { _ = c.conn.Close() })
 	defer stop()
--- a/internal/facts/change.go
+++ b/internal/facts/change.go
@@ -2,25 +2,27 @@
 
 import "log/slog"
 
-// Change tells which endpoints one piece of news changed here.
+// Change lists the endpoints that one update changed here.
 type Change struct {
-	// From is the host that told; empty is the store, fromTime that some time
-	// after the store's return is over.
+	// From is the daemon that sent the update; empty for the store, fromTimer if
+	// a grace period or restore guard ended.
 	From string
-	// Before is the position before the news, Position that up to which the
-	// news leads; zero says that it does not move the position.
+	// Before is the position before the update, Position the one up to which the
+	// update is complete; zero if it does not move the position.
 	Before, Position Position
-	// Whole says that the news was a list of all endpoints.
+	// Whole is set if the update was a list of all endpoints.
 	Whole bool
-	// Registered, Draining and Gone have the endpoints by what they are now.
-	// Kept are no longer registered and still count for a moment.
+	// Registered, Draining and Gone hold the endpoints by their present state.
+	// Kept are no longer registered but count as registered during the grace
+	// period.
 	Registered, Draining, Gone, Kept []EndpointID
 }
 
-// fromTime stands for the host that told in changes that time alone makes.
-const fromTime = "grace"
+// fromTimer stands for the sender in changes that are due to elapsed time
+// alone.
+const fromTimer = "grace"
 
-// add sorts an endpoint in that counts as e says; removed says that its
+// add lists an endpoint under its present state; removed is set if its
 // registration is gone.
 func (c *Change) add(e Endpoint, removed bool) {
 	switch {
@@ -35,12 +37,15 @@
 	}
 }
 
-func (c *Change) any() bool { return len(c.Registered)+len(c.Draining)+len(c.Gone)+len(c.Kept) > 0 }
+func (c *Change) nonEmpty() bool {
+	return len(c.Registered)+len(c.Draining)+len(c.Gone)+len(c.Kept) > 0
+}
 
-// maxListed bounds the endpoints that a line of the log names of each kind.
-const maxListed = 20
+// maxLoggedIDs is the maximum number of endpoints of each kind that a log line
+// names.
+const maxLoggedIDs = 20
 
-// Attrs returns the change as attributes of a line of the log.
+// Attrs returns the change as log attributes.
 func (c *Change) Attrs() []slog.Attr {
 	from := c.From
 	if from == "" {
@@ -60,7 +65,7 @@
 		if len(kind.ids) == 0 {
 			continue
 		}
-		attrs = append(attrs, slog.Int(kind.name, len(kind.ids)), slog.Any(kind.name+"Ids", kind.ids[:min(len(kind.ids), maxListed)]))
+		attrs = append(attrs, slog.Int(kind.name, len(kind.ids)), slog.Any(kind.name+"Ids", kind.ids[:min(len(kind.ids), maxLoggedIDs)]))
 	}
 	return attrs
 }
--- a/internal/facts/endpoints.go
+++ b/internal/facts/endpoints.go
@@ -9,98 +9,102 @@
 	"github.com/beechhead/beechhead/internal/storetime"
 )
 
-// Endpoints returns the endpoints that count as registered, sorted by id.
+// Endpoints returns the endpoints that count as registered, sorted by ID.
 func (h *Holder) Endpoints() []Endpoint {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.now()
 	var all []Endpoint
 	for _, id := range slices.Sorted(maps.Keys(h.registry.rows)) {
-		if e := h.counted(h.registry.rows[id], now); !e.Gone {
+		if e := h.effective(h.registry.rows[id], now); !e.Gone {
 			all = append(all, e)
 		}
 	}
 	return all
 }
 
-// Endpoint returns what is known of an endpoint.
+// Endpoint returns the state of an endpoint as it counts here; false if the
+// endpoint is unknown.
 func (h *Holder) Endpoint(id EndpointID) (Endpoint, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	e, ok := h.registry.rows[id]
-	return h.counted(e, h.now()), ok
+	return h.effective(e, h.now()), ok
 }
 
-// counted returns an endpoint as this daemon counts it.
-func (h *Holder) counted(e Endpoint, now storetime.Instant) Endpoint {
-	e = h.recall.apply(e, now)
-	e.Gone = e.Gone && !h.grace.keeps(e.ID, now)
+// effective returns an endpoint as it counts here, after the restore guard and
+// the grace period have been applied.
+func (h *Holder) effective(e Endpoint, now storetime.Instant) Endpoint {
+	e = h.restoreGuard.apply(e, now)
+	e.Gone = e.Gone && !h.grace.retains(e.ID, now)
 	return e
 }
 
-// now returns the latest that it may be at the store; zero is unknown.
+// now returns the latest time that it may be at the store; zero if that is
+// unknown.
 func (h *Holder) now() storetime.Instant {
 	now, _ := h.clock.Latest()
 	return now
 }
 
-// Merge takes in news of endpoints.
+// Merge applies an update of endpoints.
 func (h *Holder) Merge(n News) {
 	h.mu.Lock()
 	c := Change{From: n.From, Before: h.registry.position, Position: n.Position, Whole: n.Whole}
 	now := h.now()
 	era, began := h.beginEra(n)
 	for _, e := range h.registry.merge(n) {
-		h.grace.note(e, now)
-		c.add(h.counted(e, now), e.Gone)
+		h.grace.observe(e, now)
+		c.add(h.effective(e, now), e.Gone)
 	}
 	h.endpointsAsOf = max(h.endpointsAsOf, n.AsOf)
 	h.mu.Unlock()
 	if began {
 		h.OnEra(era, n.Position.Era())
 	}
-	h.tell(c)
+	h.notify(c)
 }
 
-// tell calls those that wait for changes of endpoints.
-func (h *Holder) tell(c Change) {
-	if !c.any() {
+// notify calls the callbacks for changes of endpoints.
+func (h *Holder) notify(c Change) {
+	if !c.nonEmpty() {
 		return
 	}
 	h.OnNews(c)
 	h.OnChange()
 }
 
-// OpenGrace takes in that the store was away until a moment, as a read of it
-// or another daemon says. It counts only if the endpoints' facts here are old
-// as well: who has heard the store's news meanwhile knows that it was there.
+// OpenGrace records that the store was unavailable and that the grace period
+// lasts until the given time, as a read of the store or another daemon shows.
+// It is ignored if the endpoint list is recent: a daemon that has received the
+// store's changes in the meantime knows that the store was available.
 func (h *Holder) OpenGrace(until storetime.Instant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if age, ok := h.endpointsAge(); ok && age <= outage {
+	if age, ok := h.endpointsAge(); ok && age <= outageAge {
 		return
 	}
 	h.grace.until = max(h.grace.until, until)
 }
 
-// Expire drops the endpoints that did not register again in time, and ends what
-// holds for some time after the store's return from a copy.
+// Expire drops the retained endpoints that did not register again in time, and
+// ends the restore guard when its time is over.
 func (h *Holder) Expire() {
 	h.mu.Lock()
 	now := h.now()
-	c := Change{From: fromTime, Before: h.registry.position, Gone: h.grace.expire(now)}
-	for _, id := range h.recall.expire(now) {
-		if e := h.counted(h.registry.rows[id], now); !e.Gone {
+	c := Change{From: fromTimer, Before: h.registry.position, Gone: h.grace.expire(now)}
+	for _, id := range h.restoreGuard.expire(now) {
+		if e := h.effective(h.registry.rows[id], now); !e.Gone {
 			c.add(e, false)
 		}
 	}
 	h.mu.Unlock()
-	h.tell(c)
+	h.notify(c)
 }
 
-// ConfirmEndpoints takes in that a daemon knew all changes up to a position,
-// and told of the newest, at a moment. It counts only if nothing is missing
-// here, nor there.
+// ConfirmEndpoints records that another daemon knew all changes up to a
+// position, the newest of them at the position told, as of a time. It is
+// ignored if either daemon lacks a change that the other one has.
 func (h *Holder) ConfirmEndpoints(told, position Position, asOf storetime.Instant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -112,7 +116,8 @@
 	h.endpointsAsOf = max(h.endpointsAsOf, asOf)
 }
 
-// Since returns what a daemon lacks that knows so much.
+// Since returns what a daemon lacks that knows the given configuration version
+// and position.
 func (h *Holder) Since(config catalog.Version, position Position) Delta {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -122,24 +127,24 @@
 	}
 	d.Endpoints, d.Whole = h.registry.since(position)
 	if d.Whole {
-		d.Endpoints = append(d.Endpoints, h.keptRows()...)
+		d.Endpoints = append(d.Endpoints, h.retainedRows()...)
 	}
 	return d
 }
 
-// keptRows returns the endpoints that are gone and still count, so that a
-// daemon that starts can use them as well.
-func (h *Holder) keptRows() (rows []Endpoint) {
+// retainedRows returns the endpoints that are gone but still count as
+// registered, so that a daemon that starts can use them as well.
+func (h *Holder) retainedRows() (rows []Endpoint) {
 	now := h.now()
-	for _, id := range slices.Sorted(maps.Keys(h.grace.kept)) {
-		if h.grace.keeps(id, now) {
+	for _, id := range slices.Sorted(maps.Keys(h.grace.retained)) {
+		if h.grace.retains(id, now) {
 			rows = append(rows, h.registry.rows[id])
 		}
 	}
 	return rows
 }
 
-// Learn takes in what another daemon told.
+// Learn applies a delta received from another daemon.
 func (h *Holder) Learn(d Delta) error {
 	if len(d.Data) > 0 {
 		if err := h.SetConfig(Config{Version: d.Config, Data: d.Data}, d.ConfigAsOf); err != nil {
@@ -160,8 +165,8 @@
 	return nil
 }
 
-// EndpointsAge returns the greatest time for which the list of endpoints may
-// have been out of date; false if none is known.
+// EndpointsAge returns the maximum time for which the endpoint list may have
+// been out of date; false if there is none.
 func (h *Holder) EndpointsAge() (time.Duration, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/facts/facts.go
+++ b/internal/facts/facts.go
@@ -1,7 +1,7 @@
-// Package facts keeps what a daemon knows from the platform's store: the
-// operators' configuration and the endpoints that have registered, each with
-// the moment at which it was known to be the newest. A few daemons read the
-// store; the others hear from them.
+// Package facts holds what a daemon knows from the platform's store: the
+// operators' configuration and the registered endpoints, each with the time as
+// of which it was known to be current. A few daemons read the store and
+// distribute its contents to the others.
 package facts
 
 import (
@@ -14,113 +14,114 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// EndpointID is the name under which an endpoint has registered.
+// EndpointID is the ID under which an endpoint has registered.
 type EndpointID string
 
-// Endpoint is what an endpoint says of itself.
+// Endpoint is the registration that an endpoint has written.
 type Endpoint struct {
 	ID      EndpointID
 	Pool    table.Pool
 	Address string
 	Zone    string
 	Slots   int
-	// Born is the start of the endpoint's process, in milliseconds. A new
-	// process under an old id is another endpoint, which holds nothing.
+	// Born is when the endpoint's process started, in milliseconds. A new process
+	// under the same ID is another endpoint, which has no state of the old one.
 	Born int64
-	// Sequence counts what the endpoint has written since its start.
+	// Sequence counts the endpoint's writes since its start.
 	Sequence uint64
 	Draining bool
-	// Gone says that the endpoint is no longer registered.
+	// Gone is set if the endpoint is no longer registered.
 	Gone bool
-	// Changed is the store's version in which this was first seen.
+	// Changed is the position of the store at which this was first seen.
 	Changed Position
 }
 
-// same tells whether two registrations say the same.
-func (e Endpoint) same(other Endpoint) bool {
+// sameRegistration reports whether two registrations differ at most in their
+// position and sequence number.
+func (e Endpoint) sameRegistration(other Endpoint) bool {
 	e.Changed, e.Sequence = other.Changed, other.Sequence
 	return e == other
 }
 
-// Config is one version of the operators' document.
+// Config is one version of the operators' configuration document.
 type Config struct {
 	Version catalog.Version
 	Data    []byte
 }
 
-// Summary is how much a daemon knows, and how fresh it is.
+// Summary states which versions a daemon knows and how recent they are.
 type Summary struct {
 	Config     catalog.Version
 	ConfigAsOf storetime.Instant
-	// Changed is the newest change of an endpoint that is known, Position the
-	// version up to which all are known.
+	// Changed is the newest known change of an endpoint, Position the position up
+	// to which all changes are known.
 	Changed, Position Position
-	// Base is the position since which all that left is known. To daemons that
-	// know less, all endpoints are told.
+	// Base is the position from which on all departures are known. A daemon that
+	// knows less is sent all endpoints.
 	Base          Position
 	EndpointsAsOf storetime.Instant
-	// GraceUntil is when the time ends, after an outage of the store, in which
-	// an endpoint whose registration lapsed still counts as registered.
+	// GraceUntil is the end of the grace period after an outage of the store, in
+	// which an endpoint whose registration has lapsed still counts as registered.
 	GraceUntil storetime.Instant
 }
 
-// Told is the position that a daemon must have reached to take this one's word
-// that nothing changed since.
+// Told returns the position that a daemon must have reached to accept this
+// one's confirmation that nothing has changed since.
 func (s Summary) Told() Position { return max(s.Changed, s.Base) }
 
-// News is what was heard of endpoints.
+// News is an update of endpoints.
 type News struct {
-	// From is the host that told; empty is the store.
+	// From is the daemon that sent the update; empty for the store.
 	From string
-	// Endpoints are those that changed, or all that there are if Whole is set.
+	// Endpoints are those that changed, or all existing ones if Whole is set.
 	Endpoints []Endpoint
 	Whole     bool
-	// Position is the version up to which the news leads; zero says that it
-	// leads nowhere, since more may have changed.
+	// Position is the position up to which the update is complete; zero if
+	// other changes may be missing.
 	Position Position
 	AsOf     storetime.Instant
 }
 
-// Delta is what one daemon tells another that lacks it.
+// Delta is what one daemon sends to another that lacks it.
 type Delta struct {
 	Summary
-	// From is the host that tells.
+	// From is the daemon that sent the delta.
 	From string
 	// Data is empty if the receiver has the configuration.
 	Data []byte
 	// Endpoints are those that changed after the receiver's position, or all
-	// that there are if Whole is set.
+	// existing ones if Whole is set.
 	Endpoints []Endpoint
 	Whole     bool
 }
 
-// Holder is one daemon's facts. It is safe for concurrent use.
+// Holder holds one daemon's facts. It is safe for concurrent use.
 type Holder struct {
-	// Parse decodes the operators' document.
+	// Parse decodes the operators' configuration document.
 	Parse func(data []byte) (*catalog.Catalog, error)
-	// OnChange is called after the catalog or the endpoints have changed,
-	// without the lock.
+	// OnChange is called, without the lock held, after the catalog or the
+	// endpoints have changed.
 	OnChange func()
-	// OnNews is called with each change of endpoints, without the lock.
+	// OnNews is called, without the lock held, with each change of endpoints.
 	OnNews func(Change)
-	// OnEra is called, without the lock, when the store has come back from a
-	// copy.
+	// OnEra is called, without the lock held, when the store has been restored
+	// from a backup.
 	OnEra func(from, to platform.Era)
 	clock *storetime.Clock
 
-	mu       sync.Mutex
-	data     []byte
-	catalog  *catalog.Catalog
-	registry registry
-	grace    grace
-	recall   recall
-	// config and configAsOf, endpointsAsOf are as in Summary.
+	mu           sync.Mutex
+	data         []byte
+	catalog      *catalog.Catalog
+	registry     registry
+	grace        gracePeriod
+	restoreGuard restoreGuard
+	// config, configAsOf and endpointsAsOf are as in Summary.
 	config        catalog.Version
 	configAsOf    storetime.Instant
 	endpointsAsOf storetime.Instant
 }
 
-// NewHolder returns a holder that knows nothing.
+// NewHolder returns a holder without facts.
 func NewHolder(clock *storetime.Clock, parse func([]byte) (*catalog.Catalog, error)) *Holder {
 	return &Holder{
 		Parse:    parse,
@@ -129,18 +130,18 @@
 		OnEra:    func(_, _ platform.Era) {},
 		clock:    clock,
 		registry: registry{rows: map[EndpointID]Endpoint{}},
-		grace:    grace{kept: map[EndpointID]storetime.Instant{}},
+		grace:    gracePeriod{retained: map[EndpointID]storetime.Instant{}},
 	}
 }
 
-// Catalog returns the configuration in force, or nil.
+// Catalog returns the configuration in force, or nil if there is none.
 func (h *Holder) Catalog() *catalog.Catalog {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.catalog
 }
 
-// Summary returns how much is known.
+// Summary returns which versions are known and how recent they are.
 func (h *Holder) Summary() Summary {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -159,8 +160,8 @@
 	}
 }
 
-// SetConfig takes in a document that was the newest at a moment. Versions
-// never fall: an older one changes nothing.
+// SetConfig applies a document that was current as of a time. Versions never
+// decrease: an older one changes nothing.
 func (h *Holder) SetConfig(c Config, asOf storetime.Instant) error {
 	h.mu.Lock()
 	known := h.config
@@ -170,13 +171,13 @@
 		if err != nil {
 			return err
 		}
-		h.adopt(c, parsed)
+		h.activate(c, parsed)
 	}
 	h.ConfirmConfig(c.Version, asOf)
 	return nil
 }
 
-func (h *Holder) adopt(c Config, parsed *catalog.Catalog) {
+func (h *Holder) activate(c Config, parsed *catalog.Catalog) {
 	h.mu.Lock()
 	if c.Version <= h.config {
 		h.mu.Unlock()
@@ -187,8 +188,8 @@
 	h.OnChange()
 }
 
-// ConfirmConfig takes in that a version was the newest at a moment. It counts
-// only if that version is in force here, or a newer one.
+// ConfirmConfig records that a version was current as of a time. It is ignored
+// unless that version or a newer one is in force here.
 func (h *Holder) ConfirmConfig(v catalog.Version, asOf storetime.Instant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -198,8 +199,8 @@
 	h.configAsOf = max(h.configAsOf, asOf)
 }
 
-// ConfigAge returns the greatest time for which the configuration may have
-// been out of date; false if none is in force.
+// ConfigAge returns the maximum time for which the configuration may have been
+// out of date; false if none is in force.
 func (h *Holder) ConfigAge() (time.Duration, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/facts/facts_test.go
+++ b/internal/facts/facts_test.go
@@ -25,27 +25,26 @@
 	return c, nil
 }
 
-// site is a holder with the clocks around it. The store's clock shows the
-// local time.
-type site struct {
+// fixture is a holder with its clocks. The store's clock shows the local time.
+type fixture struct {
 	boot   *boottime.Fake
 	clock  *storetime.Clock
 	holder *Holder
 }
 
-func newSite() *site {
+func newFixture() *fixture {
 	boot := &boottime.Fake{}
 	clock := storetime.NewClock(boot)
 	clock.Observe(0, 0)
-	return &site{boot: boot, clock: clock, holder: NewHolder(clock, parse)}
+	return &fixture{boot: boot, clock: clock, holder: NewHolder(clock, parse)}
 }
 
-func (s *site) now() storetime.Instant { return storetime.Instant(s.boot.Now() / time.Millisecond) }
+func (s *fixture) now() storetime.Instant { return storetime.Instant(s.boot.Now() / time.Millisecond) }
 
 // Guards against an older configuration that replaces a newer one, or makes it
-// look fresh.
-func TestConfigNeverFalls(t *testing.T) {
-	s := newSite()
+// look recent.
+func TestConfigVersionNeverDecreases(t *testing.T) {
+	s := newFixture()
 	if err := s.holder.SetConfig(Config{Version: 7, Data: []byte("seven")}, 0); err != nil {
 		t.Fatal(err)
 	}
@@ -58,10 +57,10 @@
 	}
 }
 
-// Guards against keys that are used on because another daemon's newer
-// configuration makes the old one here look fresh.
-func TestFreshnessOfANewerVersionDoesNotCount(t *testing.T) {
-	s := newSite()
+// Guards against revoked keys that stay valid because another daemon's
+// confirmation of a newer configuration makes the old one here look recent.
+func TestFreshnessOfNewerConfigVersionIsIgnored(t *testing.T) {
+	s := newFixture()
 	if err := s.holder.SetConfig(Config{Version: 7, Data: []byte("seven")}, 0); err != nil {
 		t.Fatal(err)
 	}
@@ -72,28 +71,29 @@
 	}
 	s.holder.ConfirmConfig(7, s.now())
 	if age, _ := s.holder.ConfigAge(); age > 100*time.Millisecond {
-		t.Errorf("the configuration counts as %v old after it was vouched for", age)
+		t.Errorf("the configuration counts as %v old after it was confirmed", age)
 	}
 }
 
-// A document that can't be read changes nothing, and the one in force ages.
-func TestUnreadableConfigChangesNothing(t *testing.T) {
-	s := newSite()
+// A document that can't be decoded changes nothing, and the one in force ages.
+func TestInvalidConfigIsNotApplied(t *testing.T) {
+	s := newFixture()
 	if err := s.holder.SetConfig(Config{Version: 7, Data: []byte("seven")}, 0); err != nil {
 		t.Fatal(err)
 	}
 	s.boot.Advance(time.Second)
 	if err := s.holder.SetConfig(Config{Version: 8, Data: []byte("bad")}, s.now()); err == nil {
-		t.Fatal("a document that can't be read was taken")
+		t.Fatal("an invalid document was applied")
 	}
 	if got := s.holder.Summary(); got.Config != 7 || got.ConfigAsOf != 0 {
 		t.Errorf("in force: %+v", got)
 	}
 }
 
-// Guards against taking a reader's word for a list that lacks a change.
-func TestEndpointsAreVouchedForOnlyWithoutGaps(t *testing.T) {
-	s := newSite()
+// Guards against accepting a reader's confirmation for a list that lacks a
+// change.
+func TestEndpointsAreConfirmedOnlyWithoutGaps(t *testing.T) {
+	s := newFixture()
 	s.holder.Merge(News{Endpoints: []Endpoint{{ID: "a", Changed: 10}}, Position: 12, Whole: true})
 	s.boot.Advance(time.Second)
 	s.holder.ConfirmEndpoints(10, 20, s.now())
@@ -103,13 +103,14 @@
 	s.boot.Advance(time.Second)
 	s.holder.ConfirmEndpoints(25, 30, s.now())
 	if got := s.holder.Summary(); got.Position != 20 {
-		t.Errorf("a gap was passed over: %+v", got)
+		t.Errorf("a confirmation was accepted despite a gap: %+v", got)
 	}
 }
 
-// What one daemon tells another that lacks a part leads to the same list.
-func TestSinceLeadsToTheSame(t *testing.T) {
-	a, b := newSite(), newSite()
+// A daemon that applies another one's deltas has the same endpoints
+// afterwards.
+func TestDeltaBringsReceiverUpToDate(t *testing.T) {
+	a, b := newFixture(), newFixture()
 	a.holder.Merge(News{Endpoints: []Endpoint{{ID: "x", Changed: 3}, {ID: "y", Changed: 4}}, Position: 5, Whole: true})
 	if err := b.holder.Learn(a.holder.Since(0, 0)); err != nil {
 		t.Fatal(err)
@@ -120,11 +121,11 @@
 	}
 	got := b.holder.Endpoints()
 	if len(got) != 1 || got[0].ID != "x" || !got[0].Draining {
-		t.Errorf("known after both: %+v", got)
+		t.Errorf("known after both deltas: %+v", got)
 	}
 }
 
-func newEndpointReader(s *site) *Reader {
+func newEndpointReader(s *fixture) *Reader {
 	return &Reader{
 		Clock:   clockwork.NewFakeClock(),
 		Boot:    s.boot,
@@ -138,12 +139,12 @@
 	}
 }
 
-func (s *site) rows(version uint64, rows ...platform.FeedRow) platform.Rows {
+func (s *fixture) rows(version uint64, rows ...platform.FeedRow) platform.Rows {
 	return platform.Rows{Rows: rows, Version: version, NowMs: int64(s.now())}
 }
 
-func (s *site) news(whole bool, version uint64, rows ...platform.FeedRow) news {
-	return news{rows: s.rows(version, rows...), upTo: PositionOf(0, version), whole: whole}
+func (s *fixture) response(whole bool, version uint64, rows ...platform.FeedRow) feedResponse {
+	return feedResponse{rows: s.rows(version, rows...), upTo: PositionOf(0, version), whole: whole}
 }
 
 func ids(endpoints []Endpoint) string {
@@ -155,18 +156,20 @@
 }
 
 // Guards against empty pools after an outage of the store in which all
-// registrations lapse, and against endpoints that never come back and stay.
-func TestEntriesThatLapsedInAnOutageAreHeld(t *testing.T) {
-	s := newSite()
+// registrations lapse, and against endpoints that stay though they never
+// register again.
+func TestRegistrationsLapsedInOutageAreRetained(t *testing.T) {
+	s := newFixture()
 	r := newEndpointReader(s)
-	r.applyEndpoints(s.news(true, 2, platform.FeedRow{Key: "a", Version: 1, Value: []byte("x")}, platform.FeedRow{Key: "b", Version: 2, Value: []byte("y")}))
+	r.applyEndpoints(s.response(true, 2, platform.FeedRow{Key: "a", Version: 1, Value: []byte("x")}, platform.FeedRow{Key: "b", Version: 2, Value: []byte("y")}))
 	s.boot.Advance(6 * time.Second)
-	r.applyEndpoints(s.news(true, 3))
+	r.applyEndpoints(s.response(true, 3))
 	if got := ids(s.holder.Endpoints()); got != "a b" {
-		t.Fatalf("right after the return: %q, want both held", got)
+		t.Fatalf("right after the outage: %q, want both retained", got)
 	}
-	// Others learn of the removal at once, and keep the endpoint as long.
-	other := newSite()
+	// Other daemons learn of the removal at once, and retain the endpoint for the
+	// same time.
+	other := newFixture()
 	other.boot.Advance(s.boot.Now())
 	if err := other.holder.Learn(s.holder.Since(0, 2)); err != nil {
 		t.Fatal(err)
@@ -175,57 +178,59 @@
 		t.Errorf("another daemon knows %+v of a, want it gone at 3", e)
 	}
 	if got := ids(other.holder.Endpoints()); got != "a b" {
-		t.Errorf("another daemon counts %q, want both held", got)
+		t.Errorf("another daemon counts %q, want both retained", got)
 	}
 	s.boot.Advance(time.Second)
-	r.applyEndpoints(s.news(false, 4, platform.FeedRow{Key: "b", Version: 4, Value: []byte("y")}))
-	s.boot.Advance(returnGrace / 2)
-	r.applyEndpoints(s.news(false, 5))
-	s.boot.Advance(returnGrace / 2)
-	r.applyEndpoints(s.news(false, 6))
+	r.applyEndpoints(s.response(false, 4, platform.FeedRow{Key: "b", Version: 4, Value: []byte("y")}))
+	s.boot.Advance(graceTime / 2)
+	r.applyEndpoints(s.response(false, 5))
+	s.boot.Advance(graceTime / 2)
+	r.applyEndpoints(s.response(false, 6))
 	if got := ids(s.holder.Endpoints()); got != "b" {
-		t.Errorf("after the grace: %q, want b", got)
+		t.Errorf("after the grace period: %q, want b", got)
 	}
-	other.boot.Advance(time.Second + returnGrace)
+	other.boot.Advance(time.Second + graceTime)
 	if err := other.holder.Learn(s.holder.Since(0, 3)); err != nil {
 		t.Fatal(err)
 	}
 	if got := ids(other.holder.Endpoints()); got != "b" {
-		t.Errorf("after the grace another daemon counts %q, want b", got)
+		t.Errorf("after the grace period another daemon counts %q, want b", got)
 	}
 }
 
-// Without an outage, an entry that goes is gone at once.
-func TestEntryGoesAtOnce(t *testing.T) {
-	s := newSite()
+// Without an outage, an endpoint whose registration is removed is gone at
+// once.
+func TestRemovedRegistrationIsGoneAtOnceWithoutOutage(t *testing.T) {
+	s := newFixture()
 	r := newEndpointReader(s)
-	r.applyEndpoints(s.news(true, 2, platform.FeedRow{Key: "a", Version: 1, Value: []byte("x")}))
+	r.applyEndpoints(s.response(true, 2, platform.FeedRow{Key: "a", Version: 1, Value: []byte("x")}))
 	s.boot.Advance(500 * time.Millisecond)
-	r.applyEndpoints(s.news(false, 3, platform.FeedRow{Key: "a", Version: 3, Removed: true}))
+	r.applyEndpoints(s.response(false, 3, platform.FeedRow{Key: "a", Version: 3, Removed: true}))
 	if got := ids(s.holder.Endpoints()); got != "" {
 		t.Errorf("after the removal: %q", got)
 	}
 }
 
-// Guards against entries of other writers that are taken for endpoints.
-func TestForeignEntriesNameNoEndpoint(t *testing.T) {
-	s := newSite()
+// Guards against rows of other writers that count as endpoints.
+func TestUndecodableRowsAreNotEndpoints(t *testing.T) {
+	s := newFixture()
 	r := newEndpointReader(s)
-	r.applyEndpoints(s.news(true, 2, platform.FeedRow{Key: "a", Version: 1, Value: []byte("x")}, platform.FeedRow{Key: "b", Version: 2, Value: []byte("y")}))
-	r.applyEndpoints(s.news(false, 4, platform.FeedRow{Key: "a", Version: 3}, platform.FeedRow{Key: "c", Version: 4}))
+	r.applyEndpoints(s.response(true, 2, platform.FeedRow{Key: "a", Version: 1, Value: []byte("x")}, platform.FeedRow{Key: "b", Version: 2, Value: []byte("y")}))
+	r.applyEndpoints(s.response(false, 4, platform.FeedRow{Key: "a", Version: 3}, platform.FeedRow{Key: "c", Version: 4}))
 	if got := ids(s.holder.Endpoints()); got != "b" {
 		t.Errorf("known: %q, want b", got)
 	}
 }
 
-// Guards against a new start under an old id that inherits load and health.
-func TestNewStartIsAnotherEndpoint(t *testing.T) {
+// Guards against a restarted endpoint that inherits load and health from the
+// process before.
+func TestRestartedEndpointGetsAnotherName(t *testing.T) {
 	before := Endpoint{ID: "a", Born: 1000}
 	after := Endpoint{ID: "a", Born: 2000}
 	if before.Name() == after.Name() {
 		t.Errorf("both are named %s", before.Name())
 	}
 	if IDOf(before.Name()) != "a" || IDOf(after.Name()) != "a" || IDOf("b") != "b" {
-		t.Error("the id is not found in the name")
+		t.Error("the ID is not found in the name")
 	}
 }
--- a/internal/facts/gap_test.go
+++ b/internal/facts/feedgaps_test.go
@@ -19,47 +19,47 @@
 	"github.com/beechhead/beechhead/internal/storetime"
 )
 
-// gapStore is a store whose feeds may keep quiet about changes for a while and
-// whose history may go.
+// gapStore is a store whose feeds may withhold changes for a while and whose
+// history may be dropped.
 type gapStore struct {
 	boot    *boottime.Fake
 	version uint64
-	// floor is the version since which the history is known.
+	// floor is the version from which on the history is available.
 	floor uint64
-	// quiet says that feeds tell nothing that came after quietFrom.
-	quiet     bool
-	quietFrom uint64
-	changes   []gapChange
-	// quietUntil is when feeds last began to tell everything again.
-	quietUntil storetime.Instant
-	// away says that the store answers nobody.
-	away bool
-	// era counts the returns from a copy, returned is when the last one was.
-	era      platform.Era
-	returned storetime.Instant
+	// withholds is set while feeds return nothing newer than withheldFrom.
+	withholds    bool
+	withheldFrom uint64
+	changes      []gapChange
+	// withheldUntil is when feeds last began to return everything again.
+	withheldUntil storetime.Instant
+	// unavailable is set while the store rejects all calls.
+	unavailable bool
+	// era counts the restores from a backup, restoredAt is when the last one was.
+	era        platform.Era
+	restoredAt storetime.Instant
 }
 
-// comeBack has the store return from a copy that lacks the last changes. The
-// operator writes the document again, endpoints don't.
-func (s *gapStore) comeBack(lacks, config int) {
+// restore restores the store from a backup that lacks the last changes. The
+// operator writes the configuration again, endpoints don't.
+func (s *gapStore) restore(lacks, config int) {
 	s.changes = s.changes[:max(0, len(s.changes)-lacks)]
 	s.version = 0
 	if n := len(s.changes); n > 0 {
 		s.version = s.changes[n-1].row.Version
 	}
 	s.floor = min(s.floor, s.version)
-	s.quiet, s.away = false, false
+	s.withholds, s.unavailable = false, false
 	s.era++
-	s.returned = s.now()
+	s.restoredAt = s.now()
 	s.put("c", strconv.Itoa(config))
 }
 
 func newGapStore() *gapStore { return &gapStore{boot: &boottime.Fake{}} }
 
-// outage lets the store be away for d, in which registrations lapse and
+// outage makes the store unavailable for d. Meanwhile registrations lapse and
 // readers fail to read.
 func (s *gapStore) outage(d time.Duration, lapse []string, readers ...*gapDaemon) {
-	s.away = true
+	s.unavailable = true
 	s.boot.Advance(d / 2)
 	for _, r := range readers {
 		r.poll()
@@ -71,7 +71,7 @@
 	for _, r := range readers {
 		r.poll()
 	}
-	s.away = false
+	s.unavailable = false
 }
 
 type gapChange struct {
@@ -87,7 +87,7 @@
 	s.changes = append(s.changes, gapChange{row: row, at: s.now()})
 }
 
-// asOf returns a row as it was at a moment.
+// asOf returns the value of a row at a time.
 func (s *gapStore) asOf(key string, at storetime.Instant) string {
 	value := ""
 	for _, c := range s.changes {
@@ -98,7 +98,7 @@
 	return value
 }
 
-func (s *gapStore) answer(keep func(platform.FeedRow) bool) platform.Rows {
+func (s *gapStore) response(keep func(platform.FeedRow) bool) platform.Rows {
 	a := platform.Rows{Version: s.version, NowMs: int64(s.now()), Era: s.era, HasEra: true}
 	for _, c := range s.changes {
 		if keep(c.row) {
@@ -108,30 +108,30 @@
 	return a
 }
 
-// feed returns the feed of the rows with a prefix.
+// feed returns the feed of the rows whose keys have a prefix.
 func (s *gapStore) feed(prefix string) Feed {
 	return Feed{
 		Snapshot: func(context.Context) (platform.Rows, error) {
-			if s.away {
+			if s.unavailable {
 				return platform.Rows{}, platform.ErrUnavailable
 			}
 			newest := map[string]uint64{}
 			for _, c := range s.changes {
 				newest[c.row.Key] = c.row.Version
 			}
-			return s.answer(func(r platform.FeedRow) bool {
+			return s.response(func(r platform.FeedRow) bool {
 				return r.Key[:1] == prefix && newest[r.Key] == r.Version && !r.Removed
 			}), nil
 		},
 		Changes: func(_ context.Context, since uint64, _ time.Duration) (platform.Rows, error) {
-			if s.away {
+			if s.unavailable {
 				return platform.Rows{}, platform.ErrUnavailable
 			}
 			if since < s.floor || since > s.version {
 				return platform.Rows{}, platform.ErrHistoryGone
 			}
-			return s.answer(func(r platform.FeedRow) bool {
-				return r.Key[:1] == prefix && r.Version > since && (!s.quiet || r.Version <= s.quietFrom)
+			return s.response(func(r platform.FeedRow) bool {
+				return r.Key[:1] == prefix && r.Version > since && (!s.withholds || r.Version <= s.withheldFrom)
 			}), nil
 		},
 	}
@@ -140,7 +140,7 @@
 // gapDaemon is a daemon that reads both feeds.
 type gapDaemon struct {
 	*Reader
-	config, endpoints *topic
+	config, endpoints *feedState
 }
 
 func newGapDaemon(s *gapStore) *gapDaemon {
@@ -166,25 +166,25 @@
 			return Endpoint{ID: EndpointID(row.Key), Address: string(row.Value)}, !row.Removed
 		},
 	}
-	d := &gapDaemon{Reader: r, config: &topic{feed: s.feed("c")}}
-	d.config.apply = func(n news) { r.applyConfig(d.config, n) }
-	d.endpoints = &topic{feed: s.feed("e"), apply: r.applyEndpoints, resume: func() Position { return r.Holder.Summary().Position }}
+	d := &gapDaemon{Reader: r, config: &feedState{feed: s.feed("c")}}
+	d.config.apply = func(n feedResponse) { r.applyConfig(d.config, n) }
+	d.endpoints = &feedState{feed: s.feed("e"), apply: r.applyEndpoints, knownPosition: func() Position { return r.Holder.Summary().Position }}
 	return d
 }
 
 // poll reads both feeds as follow does.
 func (d *gapDaemon) poll() {
-	for _, t := range []*topic{d.config, d.endpoints} {
+	for _, t := range []*feedState{d.config, d.endpoints} {
 		if err := d.read(context.Background(), t); err != nil {
-			d.note(context.Background(), t, err)
+			d.recordFailure(context.Background(), t, err)
 			continue
 		}
-		t.fails = 0
+		t.failures = 0
 	}
 }
 
-// hear takes in what another daemon tells of its facts.
-func (d *gapDaemon) hear(from *gapDaemon) {
+// receive processes what another daemon reports of its facts.
+func (d *gapDaemon) receive(from *gapDaemon) {
 	s := from.Holder.Summary()
 	d.Store.Observe(d.Boot.Now(), storetime.Instant(d.Boot.Now()/time.Millisecond))
 	d.Holder.ConfirmConfig(s.Config, s.ConfigAsOf)
@@ -198,18 +198,18 @@
 	}
 }
 
-// fault returns how a daemon's facts differ from what the store held at the
-// moment for which the daemon vouches; empty if they don't. While the feeds
-// are quiet nobody can know.
-func (d *gapDaemon) fault(s *gapStore) string {
+// violation returns how a daemon's facts differ from what the store held at
+// the time as of which the daemon considers them current; empty if they don't.
+// No daemon can know while the feeds withhold changes.
+func (d *gapDaemon) violation(s *gapStore) string {
 	sum := d.Holder.Summary()
-	known := max(s.quietUntil, s.returned)
-	if !s.quiet && sum.Config > 0 && sum.ConfigAsOf > known {
+	known := max(s.withheldUntil, s.restoredAt)
+	if !s.withholds && sum.Config > 0 && sum.ConfigAsOf > known {
 		if want := s.asOf("c", sum.ConfigAsOf); want != fmt.Sprint(sum.Config) {
-			return fmt.Sprintf("configuration %d counts as the newest at %d, it was %s", sum.Config, sum.ConfigAsOf, want)
+			return fmt.Sprintf("configuration %d counts as current at %d, it was %s", sum.Config, sum.ConfigAsOf, want)
 		}
 	}
-	if s.quiet || sum.Position == 0 || sum.EndpointsAsOf <= known {
+	if s.withholds || sum.Position == 0 || sum.EndpointsAsOf <= known {
 		return ""
 	}
 	for _, key := range gapEndpoints {
@@ -222,7 +222,7 @@
 	return ""
 }
 
-// TestMain fixes the seed of the property tests, so that the verdict is the
+// TestMain fixes the seed of the property tests, so that their result is the
 // same on every run.
 func TestMain(m *testing.M) {
 	flag.Parse()
@@ -236,9 +236,9 @@
 
 var gapEndpoints = []string{"e1", "e2"}
 
-// playGaps lets an operator, endpoints, a store and daemons do one thing after
-// the other, and returns the first fault.
-func playGaps(t *rapid.T, s *gapStore, n int, newDaemon func(*gapStore) *gapDaemon) string {
+// simulateGaps lets an operator, endpoints, a store and daemons act in random
+// order, and returns the first violation.
+func simulateGaps(t *rapid.T, s *gapStore, n int, newDaemon func(*gapStore) *gapDaemon) string {
 	var daemons []*gapDaemon
 	for range n {
 		daemons = append(daemons, newDaemon(s))
@@ -246,17 +246,17 @@
 	edits := 1
 	s.put("c", "1")
 	s.put("e1", "up")
-	actions := []string{"poll", "poll", "hear", "hear", "ask", "start", "edit", "endpoint", "quiet", "forget", "away", "back", "copy", "wait"}
+	actions := []string{"poll", "poll", "receive", "receive", "fetch all", "start", "edit", "endpoint", "withhold", "drop history", "outage", "outage ends", "restore", "wait"}
 	for range rapid.IntRange(10, 60).Draw(t, "steps") {
 		i := rapid.IntRange(0, len(daemons)-1).Draw(t, "daemon")
 		d := daemons[i]
 		switch rapid.SampledFrom(actions).Draw(t, "action") {
 		case "poll":
 			d.poll()
-		case "hear":
-			d.hear(daemons[rapid.IntRange(0, len(daemons)-1).Draw(t, "from")])
-		case "ask":
-			// A whole list, whatever the positions of the two.
+		case "receive":
+			d.receive(daemons[rapid.IntRange(0, len(daemons)-1).Draw(t, "from")])
+		case "fetch all":
+			// A complete list, whatever the positions of the two.
 			from := daemons[rapid.IntRange(0, len(daemons)-1).Draw(t, "from")]
 			d.Store.Observe(d.Boot.Now(), s.now())
 			_ = d.Holder.Learn(from.Holder.Since(0, 0))
@@ -266,30 +266,30 @@
 			edits++
 			s.put("c", strconv.Itoa(edits))
 		case "endpoint":
-			// An endpoint that registers again says something else: that one
-			// went and came back as it was may escape a single reader.
+			// An endpoint that registers again writes another value: a single
+			// reader may miss one that left and returned unchanged.
 			edits++
 			up := fmt.Sprintf("start %d", edits)
 			s.put(rapid.SampledFrom(gapEndpoints).Draw(t, "endpoint"), rapid.SampledFrom([]string{"", up}).Draw(t, "state"))
-		case "quiet":
-			if !s.quiet {
-				s.quiet, s.quietFrom = true, s.version
+		case "withhold":
+			if !s.withholds {
+				s.withholds, s.withheldFrom = true, s.version
 			}
-		case "forget":
-			s.quiet, s.floor, s.quietUntil = false, s.version, s.now()
-		case "away":
-			s.away = true
-		case "back":
-			s.away = false
+		case "drop history":
+			s.withholds, s.floor, s.withheldUntil = false, s.version, s.now()
+		case "outage":
+			s.unavailable = true
+		case "outage ends":
+			s.unavailable = false
 			s.boot.Advance(time.Second)
-		case "copy":
-			s.comeBack(rapid.IntRange(0, 5).Draw(t, "lacks"), edits)
+		case "restore":
+			s.restore(rapid.IntRange(0, 5).Draw(t, "lacks"), edits)
 		case "wait":
 			s.boot.Advance(100 * time.Millisecond)
 		}
 		s.boot.Advance(time.Millisecond)
 		for _, one := range daemons {
-			if fault := one.fault(s); fault != "" {
+			if fault := one.violation(s); fault != "" {
 				return fault
 			}
 		}
@@ -297,58 +297,58 @@
 	return ""
 }
 
-// Guards against news that is lost for good, or made up, whatever the order of
-// reads, questions, starts, outages and gaps in the store's feeds.
-func TestQuietFeedHidesNothing(t *testing.T) {
+// Guards against changes that are lost for good, or made up, in any order of
+// reads, requests, starts, outages and gaps in the store's feeds.
+func TestFactsMatchStoreDespiteFeedGaps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if fault := playGaps(t, newGapStore(), 3, newGapDaemon); fault != "" {
+		if fault := simulateGaps(t, newGapStore(), 3, newGapDaemon); fault != "" {
 			t.Fatal(fault)
 		}
 	})
 }
 
-// Daemons that follow their feeds from the store's newest version must be found
-// out, or the test above would prove nothing.
-func TestQuietFeedHidesChangesFromTheNewestVersion(t *testing.T) {
+// Daemons that follow their feeds from the store's newest version must be
+// detected, or the test above would prove nothing.
+func TestSimulationDetectsFollowingFromNewestVersion(t *testing.T) {
 	found := false
 	for seed := 0; seed < 200 && !found; seed++ {
 		found = rapid.Custom(func(t *rapid.T) bool {
-			return playGaps(t, newGapStore(), 1, func(s *gapStore) *gapDaemon {
+			return simulateGaps(t, newGapStore(), 1, func(s *gapStore) *gapDaemon {
 				d := newGapDaemon(s)
-				for _, topic := range []*topic{d.config, d.endpoints} {
-					followFromNewest(topic)
+				for _, feed := range []*feedState{d.config, d.endpoints} {
+					followFromNewest(feed)
 				}
 				return d
 			}) != ""
 		}).Example(seed)
 	}
 	if !found {
-		t.Error("no order of events shows the fault")
+		t.Error("no order of events shows a violation")
 	}
 }
 
-// Daemons that know of no eras must be found out by a store that comes back
-// from copies, or the test above would not guard against it.
-func TestCopyHidesChangesFromDaemonsWithoutEras(t *testing.T) {
+// Daemons that ignore eras must be detected when the store is restored from
+// backups, or the test above would not guard against them.
+func TestSimulationDetectsIgnoredEras(t *testing.T) {
 	found := false
 	for seed := 0; seed < 200 && !found; seed++ {
 		found = rapid.Custom(func(t *rapid.T) bool {
-			return playGaps(t, newGapStore(), 2, func(s *gapStore) *gapDaemon {
+			return simulateGaps(t, newGapStore(), 2, func(s *gapStore) *gapDaemon {
 				d := newGapDaemon(s)
-				for _, topic := range []*topic{d.config, d.endpoints} {
-					hideEras(topic)
+				for _, feed := range []*feedState{d.config, d.endpoints} {
+					hideEras(feed)
 				}
 				return d
 			}) != ""
 		}).Example(seed)
 	}
 	if !found {
-		t.Error("no order of events shows the fault")
+		t.Error("no order of events shows a violation")
 	}
 }
 
-// hideEras has a topic hear of no eras.
-func hideEras(t *topic) {
+// hideEras removes the era from the responses of a feed.
+func hideEras(t *feedState) {
 	feed := t.feed
 	t.feed.Snapshot = func(ctx context.Context) (platform.Rows, error) {
 		rows, err := feed.Snapshot(ctx)
@@ -362,9 +362,9 @@
 	}
 }
 
-// followFromNewest has a topic ask for what came after the newest version that
-// the store has answered with.
-func followFromNewest(t *topic) {
+// followFromNewest makes a feed return only what came after the newest version
+// with which the store has responded.
+func followFromNewest(t *feedState) {
 	newest := uint64(0)
 	feed := t.feed
 	t.feed.Snapshot = func(ctx context.Context) (platform.Rows, error) {
@@ -381,8 +381,8 @@
 	}
 }
 
-// Guards against a new reader that vouches for departures it never knew of.
-func TestNewReaderDoesNotVouchForWhatItNeverKnew(t *testing.T) {
+// Guards against a new reader that confirms departures of which it never knew.
+func TestNewReaderDoesNotConfirmUnknownDepartures(t *testing.T) {
 	s := newGapStore()
 	s.put("e1", "up")
 	s.put("e2", "up")
@@ -391,18 +391,19 @@
 	s.put("e1", "")
 	s.boot.Advance(time.Second)
 	fresh.poll()
-	old.hear(fresh)
+	old.receive(fresh)
 	if got := ids(old.Holder.Endpoints()); got != "e2" {
 		t.Errorf("the old daemon knows %q, want e2", got)
 	}
 }
 
-// Guards against an answer from before what the store has shown already.
-func TestAnswerFromThePastDoesNotCount(t *testing.T) {
+// Guards against accepting a response that is older than what the store has
+// already returned.
+func TestStaleStoreResponseIsRejected(t *testing.T) {
 	s := newGapStore()
 	s.put("c", "1")
 	d := newGapDaemon(s)
-	past := s.answer(func(r platform.FeedRow) bool { return r.Key == "c" })
+	past := s.response(func(r platform.FeedRow) bool { return r.Key == "c" })
 	s.put("e1", "up")
 	d.poll()
 	s.boot.Advance(5 * time.Second)
@@ -410,34 +411,34 @@
 	d.config.feed.Snapshot = func(context.Context) (platform.Rows, error) { return past, nil }
 	d.config.synced = false
 	if err := d.read(context.Background(), d.config); err == nil {
-		t.Error("the answer was taken")
+		t.Error("the response was accepted")
 	}
 	if got := d.Holder.Summary().ConfigAsOf; got != 0 {
-		t.Errorf("the configuration counts as the newest at %d", got)
+		t.Errorf("the configuration counts as current at %d", got)
 	}
 }
 
-// Guards against keys that stay good because the edit that takes them away
-// can't be read.
-func TestUnreadableEditIsNotConfirmed(t *testing.T) {
+// Guards against revoked keys that stay valid because the edit that revokes
+// them can't be decoded.
+func TestInvalidConfigIsNotConfirmed(t *testing.T) {
 	s := newGapStore()
 	s.put("c", "1")
 	d := newGapDaemon(s)
 	d.poll()
 	parse := d.Holder.Parse
-	d.Holder.Parse = func([]byte) (*catalog.Catalog, error) { return nil, fmt.Errorf("unreadable") }
+	d.Holder.Parse = func([]byte) (*catalog.Catalog, error) { return nil, fmt.Errorf("invalid configuration") }
 	s.boot.Advance(time.Second)
 	s.put("c", "2")
 	d.poll()
 	s.boot.Advance(time.Second)
 	d.poll()
 	if got := d.Holder.Summary().ConfigAsOf; got != 0 {
-		t.Errorf("the old configuration counts as the newest at %d", got)
+		t.Errorf("the old configuration counts as current at %d", got)
 	}
 	d.Holder.Parse = parse
 	s.put("c", "3")
 	d.poll()
 	if got := d.Holder.Summary(); got.Config != 3 || got.ConfigAsOf != s.now() {
-		t.Errorf("after a readable edit: %+v", got)
+		t.Errorf("after a valid edit: %+v", got)
 	}
 }
--- a/internal/facts/grace.go
+++ b/internal/facts/grace.go
@@ -7,46 +7,50 @@
 )
 
 const (
-	// outage is how old the knowledge of endpoints must be for the next news to
-	// count as the store's return, if reads have failed meanwhile, and
-	// longOutage if it is not known whether any has.
-	outage     = 1500 * time.Millisecond
-	longOutage = 3 * time.Second
-	// returnGrace is how long after the store's return an endpoint whose
-	// registration has lapsed may still come back: endpoints register again
-	// within about two seconds.
-	returnGrace = 2200 * time.Millisecond
+	// outageAge is the minimum age of the endpoint list at which the next
+	// successful read counts as the end of a store outage if reads have failed in
+	// the meantime; unconfirmedOutageAge is the minimum age if it is not known
+	// whether any read has failed.
+	outageAge            = 1500 * time.Millisecond
+	unconfirmedOutageAge = 3 * time.Second
+	// graceTime is how long after the end of an outage an endpoint whose
+	// registration has lapsed may register again. Endpoints register again within
+	// about two seconds.
+	graceTime = 2200 * time.Millisecond
 )
 
-// grace keeps endpoints whose registrations lapse around an outage of the
-// store: if they were taken for gone at once, every outage would empty the
-// pools. It decides only what this daemon uses, and never what it tells.
-type grace struct {
-	// until is the time up to which an endpoint that goes is kept.
+// gracePeriod retains endpoints whose registrations lapse around a store
+// outage. If they counted as gone at once, every outage would empty the pools.
+// It affects only which endpoints this daemon uses, never what it sends to
+// others.
+type gracePeriod struct {
+	// until is the end of the period. Endpoints that disappear before it are
+	// retained until then.
 	until storetime.Instant
-	// kept has until when each endpoint is kept.
-	kept map[EndpointID]storetime.Instant
+	// retained holds, for each retained endpoint, the time until which it is
+	// retained.
+	retained map[EndpointID]storetime.Instant
 }
 
-// note takes in that a row changed.
-func (g *grace) note(e Endpoint, now storetime.Instant) {
-	delete(g.kept, e.ID)
+// observe processes a changed row.
+func (g *gracePeriod) observe(e Endpoint, now storetime.Instant) {
+	delete(g.retained, e.ID)
 	if e.Gone && !e.Draining && e.Address != "" && now < g.until {
-		g.kept[e.ID] = g.until
+		g.retained[e.ID] = g.until
 	}
 }
 
-// keeps tells whether an endpoint that is gone still counts as registered.
-func (g *grace) keeps(id EndpointID, now storetime.Instant) bool {
-	until, ok := g.kept[id]
+// retains reports whether an endpoint that is gone still counts as registered.
+func (g *gracePeriod) retains(id EndpointID, now storetime.Instant) bool {
+	until, ok := g.retained[id]
 	return ok && now < until
 }
 
-// expire forgets the endpoints whose time is over, and returns them.
-func (g *grace) expire(now storetime.Instant) (gone []EndpointID) {
-	for id := range g.kept {
-		if !g.keeps(id, now) {
-			delete(g.kept, id)
+// expire removes the endpoints whose time is over and returns them.
+func (g *gracePeriod) expire(now storetime.Instant) (gone []EndpointID) {
+	for id := range g.retained {
+		if !g.retains(id, now) {
+			delete(g.retained, id)
 			gone = append(gone, id)
 		}
 	}
--- a/internal/facts/name.go
+++ b/internal/facts/name.go
@@ -7,12 +7,12 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// bornSeparator stands between an endpoint's id and its start in its name.
+// bornSeparator separates an endpoint's ID from its start time in its name.
 const bornSeparator = "@"
 
-// Name returns the name under which an endpoint is placed. It has the start of
-// the endpoint's process: one that has started again holds nothing of before,
-// and its load and health are unknown.
+// Name returns the endpoint's name in the table. It contains the start time of
+// the endpoint's process: a restarted one has no state from before, and its
+// load and health are unknown.
 func (e Endpoint) Name() table.EndpointName {
 	if e.Born == 0 {
 		return table.EndpointName(e.ID)
@@ -20,7 +20,7 @@
 	return table.EndpointName(string(e.ID) + bornSeparator + strconv.FormatInt(e.Born, 36))
 }
 
-// IDOf returns the id under which the endpoint of a name has registered.
+// IDOf returns the ID under which the endpoint with a name has registered.
 func IDOf(name table.EndpointName) EndpointID {
 	id := string(name)
 	if i := strings.LastIndex(id, bornSeparator); i >= 0 {
--- a/internal/facts/position.go
+++ b/internal/facts/position.go
@@ -2,13 +2,13 @@
 
 import "github.com/beechhead/beechhead/internal/platform"
 
-// Position is a version of the store, which grows with each transaction, within
-// an era, which grows each time that the store comes back from a copy and gives
-// versions out again. Positions of a later era are greater than all earlier
-// ones. A daemon or store that knows no eras is in era 0.
+// Position is a version of the store within an era. The version grows with
+// each transaction; the era grows each time that the store is restored from a
+// backup and assigns versions again. Positions of a later era are greater than
+// all earlier ones. A daemon or store without eras is in era 0.
 type Position uint64
 
-// versionBits is how many bits of a position hold the version.
+// versionBits is the number of bits of a position that hold the version.
 const versionBits = 44
 
 // PositionOf returns the position of a version in an era.
--- a/internal/facts/reader.go
+++ b/internal/facts/reader.go
@@ -18,36 +18,40 @@
 )
 
 const (
-	// configWait is how long the store holds back an answer without news of
-	// the configuration. It bounds how old the freshest knowledge is, and
-	// costs a call each time; revoked keys bind within seconds.
-	configWait = 700 * time.Millisecond
-	// endpointsPause is the time between two reads of the endpoints' feed.
-	// Endpoints rewrite their entries all the time, so that each read finds
-	// something; waiting in between gathers it.
-	endpointsPause = 450 * time.Millisecond
-	// endpointsWait is how long the store holds back an answer without news.
-	endpointsWait = 400 * time.Millisecond
-	// idlePause is how often a daemon that does not read looks whether it
-	// should, startPause the same for one that knows nothing yet.
-	idlePause  = 100 * time.Millisecond
-	startPause = 20 * time.Millisecond
-	// firstRetry and maxRetry bound the pause after a failed read.
-	firstRetry = 150 * time.Millisecond
-	maxRetry   = 1200 * time.Millisecond
+	// configPollTimeout is how long the store delays its response while the
+	// configuration has not changed. It bounds the age of the most recent facts
+	// and costs one call each time; revoked keys must take effect within seconds.
+	configPollTimeout = 700 * time.Millisecond
+	// endpointsPollInterval is the time between two reads of the endpoint feed.
+	// Endpoints rewrite their rows all the time, so that every read finds
+	// changes; the interval collects several of them in one read.
+	endpointsPollInterval = 450 * time.Millisecond
+	// endpointsPollTimeout is how long the store delays its response while no
+	// endpoint has changed.
+	endpointsPollTimeout = 400 * time.Millisecond
+	// idleCheckInterval is how often a daemon that does not read the store checks
+	// whether it should, startupCheckInterval the same for one that has no facts
+	// yet.
+	idleCheckInterval    = 100 * time.Millisecond
+	startupCheckInterval = 20 * time.Millisecond
+	// initialRetryDelay and maxRetryDelay are the upper bounds of the delay after
+	// the first failed read and after many.
+	initialRetryDelay = 150 * time.Millisecond
+	maxRetryDelay     = 1200 * time.Millisecond
 )
 
-// Feed is one table of the store as the reader needs it.
+// Feed reads one table of the store.
 type Feed struct {
 	// Snapshot returns all rows.
 	Snapshot func(ctx context.Context) (platform.Rows, error)
-	// Changes returns what has changed since a version, waiting for news up
-	// to a time. ErrHistoryGone says that the store no longer knows.
+	// Changes returns the rows changed after a version, waiting for a change up
+	// to the given time. ErrHistoryGone means that the store no longer has these
+	// changes.
 	Changes func(ctx context.Context, since uint64, wait time.Duration) (platform.Rows, error)
 }
 
-// Reader reads the store and tells what it finds. Fields must be set before it
-// runs.
+// Reader reads the store and passes what it finds to Holder. Fields must be
+// set before it runs.
 type Reader struct {
 	Clock   clockwork.Clock
 	Boot    boottime.Clock
@@ -55,131 +59,134 @@
 	Holder  *Holder
 	Logger  *slog.Logger
 	Metrics *metric.Registry
-	// Config is the feed of the operators' document, Endpoints that of the
+	// Config is the feed of the operators' configuration, Endpoints that of the
 	// registrations.
 	Config, Endpoints Feed
-	// DecodeConfig finds the operators' document among rows; false if it is
-	// not there or can't be read.
+	// DecodeConfig finds the operators' configuration among rows; false if it is
+	// missing or can't be decoded.
 	DecodeConfig func(rows []platform.FeedRow) (Config, bool)
-	// DecodeEndpoint reads a registration; false if it names no endpoint.
+	// DecodeEndpoint decodes a registration; false if the row is not one of an
+	// endpoint.
 	DecodeEndpoint func(row platform.FeedRow) (Endpoint, bool)
-	// OnDuty tells whether this daemon is to read.
+	// OnDuty reports whether this daemon is to read the store.
 	OnDuty func() bool
 	// Told is called after each successful read.
 	Told func()
 
-	// newest is the greatest position that the store has answered with.
+	// newest is the greatest position in any response of the store.
 	newest atomic.Uint64
-	// oddEra says that the store has answered with an era that can't be.
-	oddEra atomic.Bool
+	// invalidEra is set once the store has responded with an invalid era.
+	invalidEra atomic.Bool
 }
 
-// errPast says that the store answered with a state that is older than one
-// which it had shown before the call.
-var errPast = errors.Wrap(platform.ErrUnavailable, "the answer is older than an earlier one")
+// errStaleResponse means that the store responded with a state older than one
+// that it had returned before the call.
+var errStaleResponse = errors.Wrap(platform.ErrUnavailable, "store response is older than an earlier one")
 
-// errOtherEra says that the store has come back from a copy.
-var errOtherEra = errors.Wrap(platform.ErrHistoryGone, "the store has come back from a copy")
+// errEraChanged means that the store has been restored from a backup.
+var errEraChanged = errors.Wrap(platform.ErrHistoryGone, "store was restored from a backup")
 
-// topic is one feed with what the reader does with its rows.
-type topic struct {
-	name  string
-	feed  Feed
-	wait  time.Duration
-	pause time.Duration
-	// apply takes an answer in.
-	apply func(news)
-	// resume returns the position up to which the rows are known from other
-	// daemons; zero is none.
-	resume func() Position
-	// since is the position up to which the feed was read, if synced is set. An
-	// empty store's version is zero.
+// feedState is one feed, how its rows are processed and how far it has been
+// read.
+type feedState struct {
+	name        string
+	feed        Feed
+	pollTimeout time.Duration
+	interval    time.Duration
+	// apply processes a response.
+	apply func(feedResponse)
+	// knownPosition returns the position up to which the rows are known from
+	// other daemons; zero if none are. It is nil for a feed that always starts
+	// with a snapshot.
+	knownPosition func() Position
+	// since is the position up to which the feed has been read, if synced is set.
+	// The version of an empty store is zero.
 	since  Position
 	synced bool
-	// forgotten says that the store no longer tells what came after since.
-	forgotten bool
-	fails     int
-	// invalid says that the newest document could not be taken in, so that the
-	// one in force must not count as the newest.
+	// historyGone is set if the store no longer has the changes after since.
+	historyGone bool
+	failures    int
+	// invalid is set if the newest document could not be applied, so that the one
+	// in force must not count as current.
 	invalid bool
 }
 
-// news is an answer of the store.
-type news struct {
+// feedResponse is a response of the store.
+type feedResponse struct {
 	rows platform.Rows
-	// upTo is the position up to which all rows of the topic have been told.
+	// upTo is the position up to which all rows of the feed have been received.
 	upTo Position
-	// whole says that rows are all rows that there are.
+	// whole is set if rows are all existing rows.
 	whole bool
-	// failed says that the reads before this one have failed.
-	failed bool
+	// afterFailure is set if the reads before this one have failed.
+	afterFailure bool
 }
 
-// Run reads until ctx ends.
+// Run reads until ctx is cancelled.
 func (r *Reader) Run(ctx context.Context) {
-	config := &topic{name: "config", feed: r.Config, wait: configWait}
-	config.apply = func(n news) { r.applyConfig(config, n) }
+	config := &feedState{name: "config", feed: r.Config, pollTimeout: configPollTimeout}
+	config.apply = func(n feedResponse) { r.applyConfig(config, n) }
 	go r.follow(ctx, config)
-	r.follow(ctx, &topic{
-		name: "endpoints", feed: r.Endpoints, wait: endpointsWait, pause: endpointsPause,
-		apply:  r.applyEndpoints,
-		resume: func() Position { return r.Holder.Summary().Position },
+	r.follow(ctx, &feedState{
+		name: "endpoints", feed: r.Endpoints, pollTimeout: endpointsPollTimeout, interval: endpointsPollInterval,
+		apply:         r.applyEndpoints,
+		knownPosition: func() Position { return r.Holder.Summary().Position },
 	})
 }
 
-// follow keeps up with one feed while the daemon is on duty.
-func (r *Reader) follow(ctx context.Context, t *topic) {
+// follow keeps up with one feed while OnDuty reports true.
+func (r *Reader) follow(ctx context.Context, t *feedState) {
 	for ctx.Err() == nil {
 		if !r.OnDuty() {
-			t.synced, t.forgotten, t.fails = false, false, 0
-			r.sleep(ctx, r.idlePause())
+			t.synced, t.historyGone, t.failures = false, false, 0
+			r.sleep(ctx, r.checkInterval())
 			continue
 		}
 		if err := r.read(ctx, t); err != nil {
-			r.failed(ctx, t, err)
+			r.handleFailure(ctx, t, err)
 			continue
 		}
-		if t.fails > 0 {
+		if t.failures > 0 {
 			r.Logger.Info("store regained", "feed", t.name)
 		}
-		t.fails = 0
+		t.failures = 0
 		r.Told()
-		r.sleep(ctx, t.pause)
+		r.sleep(ctx, t.interval)
 	}
 }
 
-func (r *Reader) idlePause() time.Duration {
+func (r *Reader) checkInterval() time.Duration {
 	if known := r.Holder.Summary(); known.Config == 0 || known.Position == 0 {
-		return startPause
+		return startupCheckInterval
 	}
-	return idlePause
+	return idleCheckInterval
 }
 
-// read asks once for what is new.
-func (r *Reader) read(ctx context.Context, t *topic) error {
-	seen := r.seen()
-	t.takeUp(seen.Era())
+// read sends one request for what has changed.
+func (r *Reader) read(ctx context.Context, t *feedState) error {
+	seen := r.newestKnown()
+	t.resume(seen.Era())
 	sent := r.Boot.Now()
-	n := news{whole: !t.synced, failed: t.fails > 0}
+	n := feedResponse{whole: !t.synced, afterFailure: t.failures > 0}
 	var err error
 	if n.whole {
 		n.rows, err = t.feed.Snapshot(ctx)
 	} else {
-		n.rows, err = t.feed.Changes(ctx, t.since.Version(), t.wait)
+		n.rows, err = t.feed.Changes(ctx, t.since.Version(), t.pollTimeout)
 	}
 	if err != nil {
 		return err
 	}
-	at := PositionOf(r.era(&n.rows, seen.Era()), n.rows.Version)
+	at := PositionOf(r.responseEra(&n.rows, seen.Era()), n.rows.Version)
 	if at < seen {
-		// An old state would count as the newest: a configuration that has
-		// been replaced, an endpoint that has left.
-		return errPast
+		// An old state would count as the current one: a configuration that has been
+		// replaced, an endpoint that has left.
+		return errStaleResponse
 	}
-	r.see(at)
+	r.recordPosition(at)
 	if !n.whole && at.Era() != t.since.Era() {
-		// The versions of another era say nothing of what came since.
-		return errOtherEra
+		// The versions of another era don't show what has changed since.
+		return errEraChanged
 	}
 	r.Store.Observe(sent, storetime.Instant(n.rows.NowMs))
 	n.upTo = at
@@ -188,27 +195,28 @@
 		n.upTo = max(t.since, PositionOf(at.Era(), newestVersion(n.rows.Rows)))
 	}
 	t.apply(n)
-	t.since, t.synced, t.forgotten = n.upTo, true, false
+	t.since, t.synced, t.historyGone = n.upTo, true, false
 	return nil
 }
 
-// takeUp goes on from what other daemons have told, unless the store has
-// forgotten what came since. To read everything anew would cost all daemons a
-// whole list. What was read in an earlier era leads nowhere.
-func (t *topic) takeUp(era platform.Era) {
+// resume continues from the position that other daemons have reported, unless
+// the store no longer has the changes since. Reading a snapshot instead would
+// cause a complete list to be sent to all daemons. A position of an earlier
+// era can't be continued from.
+func (t *feedState) resume(era platform.Era) {
 	if t.synced && t.since.Era() < era {
-		t.synced, t.forgotten = false, t.resume == nil
+		t.synced, t.historyGone = false, t.knownPosition == nil
 	}
-	if t.synced || t.forgotten || t.resume == nil {
+	if t.synced || t.historyGone || t.knownPosition == nil {
 		return
 	}
-	if since := t.resume(); since > 0 {
+	if since := t.knownPosition(); since > 0 {
 		t.since, t.synced = since, true
 	}
 }
 
-// newestRows drops the rows of which a later version follows: an entry that
-// was removed and written again is there.
+// newestRows drops the rows that are followed by a later version: a row that
+// was removed and written again exists.
 func newestRows(rows []platform.FeedRow) []platform.FeedRow {
 	newest := map[string]uint64{}
 	for _, row := range rows {
@@ -218,10 +226,11 @@
 }
 
 // newestVersion returns the greatest version among rows. A feed is followed
-// from there and not from the store's own version: if the store keeps quiet
-// about a change, answers without it and then forgets its history, the change
-// would never be heard of. From the last row that was told, the store either
-// tells it later or says that its history is gone, and everything is read anew.
+// from there and not from the store's own version: if the store withholds a
+// change, responds without it and then drops its history, the change would
+// never be received. After the last row received, the store either returns the
+// change later or responds that its history is gone, and everything is read
+// again.
 func newestVersion(rows []platform.FeedRow) uint64 {
 	newest := uint64(0)
 	for _, row := range rows {
@@ -230,29 +239,30 @@
 	return newest
 }
 
-// seen returns the greatest position of the store that is known to exist.
-func (r *Reader) seen() Position {
+// newestKnown returns the greatest position that the store is known to have
+// reached.
+func (r *Reader) newestKnown() Position {
 	s := r.Holder.Summary()
 	return max(Position(r.newest.Load()), s.Position, s.Told())
 }
 
-// era returns the era of an answer. One that can't be read, or that was over
-// when the store was asked, counts as the era before.
-func (r *Reader) era(rows *platform.Rows, before platform.Era) platform.Era {
+// responseEra returns the era of a response. An invalid one, or one that had
+// already ended when the request was sent, counts as the era before.
+func (r *Reader) responseEra(rows *platform.Rows, before platform.Era) platform.Era {
 	if rows.HasEra && rows.Era >= before {
 		return rows.Era
 	}
 	if rows.HasEra || rows.OddEra {
 		r.Metrics.Inc("facts.eraInvalid")
-		if !r.oddEra.Swap(true) {
+		if !r.invalidEra.Swap(true) {
 			r.Logger.Error("the store names an era that can't be", "era", uint64(rows.Era), "known", uint64(before))
 		}
 	}
 	return before
 }
 
-// see notes a position of the store.
-func (r *Reader) see(p Position) {
+// recordPosition records a position of the store.
+func (r *Reader) recordPosition(p Position) {
 	for {
 		known := r.newest.Load()
 		if uint64(p) <= known || r.newest.CompareAndSwap(known, uint64(p)) {
@@ -261,27 +271,27 @@
 	}
 }
 
-func (r *Reader) failed(ctx context.Context, t *topic, err error) {
-	if again := r.note(ctx, t, err); again {
+func (r *Reader) handleFailure(ctx context.Context, t *feedState, err error) {
+	if retryNow := r.recordFailure(ctx, t, err); retryNow {
 		return
 	}
-	bound := min(firstRetry<<min(t.fails-1, 4), maxRetry)
+	bound := min(initialRetryDelay<<min(t.failures-1, 4), maxRetryDelay)
 	r.sleep(ctx, bound/2+rand.N(bound/2)) //nolint:gosec // jitter
 }
 
-// note takes in that a read failed. It returns whether another way of reading
-// is to be tried at once.
-func (r *Reader) note(ctx context.Context, t *topic, err error) (again bool) {
+// recordFailure records that a read failed. It reports whether to read again
+// at once in another way.
+func (r *Reader) recordFailure(ctx context.Context, t *feedState, err error) (retryNow bool) {
 	if errors.Is(err, platform.ErrHistoryGone) {
 		r.Metrics.Inc("facts.historyGone")
-		t.synced, t.forgotten = false, true
+		t.synced, t.historyGone = false, true
 		return true
 	}
-	if t.fails == 0 && ctx.Err() == nil {
+	if t.failures == 0 && ctx.Err() == nil {
 		r.Logger.Warn("store lost", "feed", t.name, "error", err)
 	}
 	r.Metrics.Inc("facts.readFailed")
-	t.fails++
+	t.failures++
 	return false
 }
 
@@ -295,10 +305,10 @@
 	}
 }
 
-// applyConfig takes in rows of the operators' table. Without any news the
-// document in force is the newest. News that can't be read leaves it to age:
-// to take it for the newest would keep keys that were taken away.
-func (r *Reader) applyConfig(t *topic, n news) {
+// applyConfig processes rows of the operators' table. If there are none, the
+// document in force is current. If they can't be decoded, the document in
+// force is left to age: treating it as current would keep revoked keys valid.
+func (r *Reader) applyConfig(t *feedState, n feedResponse) {
 	asOf := storetime.Instant(n.rows.NowMs)
 	c, ok := r.DecodeConfig(n.rows.Rows)
 	switch {
--- a/internal/facts/duty_test.go
+++ b/internal/facts/readerselection_test.go
@@ -9,9 +9,10 @@
 	"github.com/beechhead/beechhead/internal/membership"
 )
 
-// TestDuty plays cases of who reads the store from a file: the hosts in their
-// order, how long ago each was heard to have read, and who is to read now.
-func TestDuty(t *testing.T) {
+// TestReaderSelection runs the cases of testdata/duty.json: the hosts in their
+// order, the time since each of them reported a read, and which of them read
+// now.
+func TestReaderSelection(t *testing.T) {
 	data, err := os.ReadFile("testdata/duty.json")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/facts/registrations.go
+++ b/internal/facts/registrations.go
@@ -5,11 +5,11 @@
 	"github.com/beechhead/beechhead/internal/storetime"
 )
 
-// applyEndpoints takes in rows of the endpoints' table.
-func (r *Reader) applyEndpoints(n news) {
+// applyEndpoints processes rows of the endpoints' table.
+func (r *Reader) applyEndpoints(n feedResponse) {
 	asOf := storetime.Instant(n.rows.NowMs)
-	if age, ok := r.Holder.EndpointsAge(); ok && (age > longOutage || age > outage && n.failed) {
-		r.Holder.OpenGrace(asOf.Add(returnGrace))
+	if age, ok := r.Holder.EndpointsAge(); ok && (age > unconfirmedOutageAge || age > outageAge && n.afterFailure) {
+		r.Holder.OpenGrace(asOf.Add(graceTime))
 	}
 	rows := make([]Endpoint, 0, len(n.rows.Rows))
 	for _, row := range n.rows.Rows {
@@ -26,7 +26,7 @@
 			e.Changed = changed
 			return e
 		}
-		// An entry that can't be read names no endpoint to use.
+		// A row that can't be decoded describes no usable endpoint.
 		r.Metrics.Inc("facts.endpointInvalid")
 	}
 	return Endpoint{ID: EndpointID(row.Key), Gone: true, Changed: changed}
--- a/internal/facts/registry.go
+++ b/internal/facts/registry.go
@@ -5,24 +5,24 @@
 	"slices"
 )
 
-// registry is what is known of the endpoints' registrations: of each endpoint
-// the newest row of the store that was heard of, removals included. Rows alone
-// decide, and never what a daemon makes of them: daemons at one position know
-// the same, so that one may take the other's word for it.
+// registry holds the known registrations: for each endpoint the newest row of
+// the store that was received, including removals. It depends on rows alone,
+// never on what a daemon derives from them: daemons at the same position have
+// the same rows, so that one can accept the other's confirmation.
 type registry struct {
 	rows map[EndpointID]Endpoint
-	// position is the version of the store as of which all rows are known; a
-	// row may be newer.
+	// position is the position as of which all rows are known; a row may be
+	// newer.
 	position Position
-	// base is the newest position of a whole list. An endpoint without a row
+	// base is the newest position of a complete list. An endpoint without a row
 	// here was not registered at that position.
 	base Position
-	// changed is the newest version of a row, or that of the list in which a
-	// row was first missing.
+	// changed is the newest position of a row, or of the list in which a row was
+	// first missing.
 	changed Position
 }
 
-// merge takes in news and returns the rows that changed.
+// merge applies an update and returns the rows that changed.
 func (r *registry) merge(n News) (changed []Endpoint) {
 	whole := n.Whole && n.Position >= r.position
 	for _, e := range n.Endpoints {
@@ -31,16 +31,16 @@
 		}
 	}
 	if whole {
-		changed = append(changed, r.dropMissing(n.Endpoints, n.Position)...)
+		changed = append(changed, r.markMissingGone(n.Endpoints, n.Position)...)
 		r.base = max(r.base, n.Position)
 	}
 	r.position = max(r.position, n.Position)
 	return changed
 }
 
-// put takes in a row unless a newer one is known. One that is no newer than the
-// last whole list tells nothing that the list did not, unless it stands in a
-// whole list itself.
+// put stores a row unless a newer one is known. A row that is no newer than
+// the last complete list adds nothing to it, unless the row is part of a
+// complete list itself.
 func (r *registry) put(e Endpoint, listed bool) (Endpoint, bool) {
 	known, ok := r.rows[e.ID]
 	if ok && known.Changed >= e.Changed || !listed && e.Changed <= r.base {
@@ -53,11 +53,12 @@
 	}
 	r.changed = max(r.changed, e.Changed)
 	r.rows[e.ID] = e
-	return e, !ok || !known.same(e)
+	return e, !ok || !known.sameRegistration(e)
 }
 
-// dropMissing marks as gone what a whole list does not have, and returns it.
-func (r *registry) dropMissing(all []Endpoint, position Position) (gone []Endpoint) {
+// markMissingGone marks the endpoints that a complete list lacks as gone, and
+// returns them.
+func (r *registry) markMissingGone(all []Endpoint, position Position) (gone []Endpoint) {
 	listed := make(map[EndpointID]bool, len(all))
 	for _, e := range all {
 		listed[e.ID] = true
@@ -75,8 +76,8 @@
 	return gone
 }
 
-// since returns the rows that changed after a position, or all that are there
-// if what was removed since then is not known.
+// since returns the rows that changed after a position, or all existing ones
+// if the removals since then are not known.
 func (r *registry) since(position Position) (rows []Endpoint, whole bool) {
 	whole = position < r.base || position == 0
 	for _, id := range slices.Sorted(maps.Keys(r.rows)) {
--- a/internal/factsync/answer.go
+++ b/internal/factsync/answer.go
@@ -10,39 +10,40 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// servedListed is how many of the daemons that have got a configuration from
-// here are named to those that must wait for it.
-const servedListed = 4
+// maxServedListed is how many of the daemons that have received a
+// configuration from here are named to those that must wait for it.
+const maxServedListed = 4
 
-// creditTime is the time for which a host that has sent no configuration saves
-// up what it may send.
-const creditTime = 500 * time.Millisecond
+// maxCreditTime is the time for which a host that sends no configuration
+// accumulates credit.
+const maxCreditTime = 500 * time.Millisecond
 
-// share bounds the configurations that a host sends. All hosts want a new one
-// at the same moment; sent to all by one reader, a large one would hold up the
-// streams of the reader's own callers.
-type share struct {
-	// credit is how many bytes may be sent now. A document is sent whole while
-	// it is positive, and what goes beyond is paid back first.
-	credit float64
-	at     time.Duration
-	began  bool
-	// served has the addresses that have got the version.
+// sendBudget limits the configurations that a host sends. All hosts request a
+// new one at the same moment; if one reader sent a large one to all of them,
+// the streams of the reader's own callers would be delayed.
+type sendBudget struct {
+	// credit is how many bytes may be sent now. A document is sent in full while
+	// the credit is positive; a negative credit must be made up first.
+	credit  float64
+	at      time.Duration
+	started bool
+	// served holds the addresses that have received the version.
 	served  []string
 	version catalog.Version
 }
 
-// take tells whether a document of n bytes may be sent to an address now.
-func (s *share) take(rate float64, n int, version catalog.Version, address string, now time.Duration) bool {
+// take reports whether a document of n bytes may be sent to an address now,
+// and if so deducts it from the credit.
+func (s *sendBudget) take(rate float64, n int, version catalog.Version, address string, now time.Duration) bool {
 	if rate <= 0 {
 		return true
 	}
-	if s.began {
-		s.credit = min(rate*creditTime.Seconds(), s.credit+rate*(now-s.at).Seconds())
+	if s.started {
+		s.credit = min(rate*maxCreditTime.Seconds(), s.credit+rate*(now-s.at).Seconds())
 	} else {
-		s.credit = rate * creditTime.Seconds()
+		s.credit = rate * maxCreditTime.Seconds()
 	}
-	s.began, s.at = true, now
+	s.started, s.at = true, now
 	if s.credit <= 0 {
 		return false
 	}
@@ -51,11 +52,11 @@
 		s.version, s.served = version, nil
 	}
 	s.served = append(s.served, address)
-	s.served = s.served[max(0, len(s.served)-servedListed):]
+	s.served = s.served[max(0, len(s.served)-maxServedListed):]
 	return true
 }
 
-// Answer answers another daemon that asks for facts.
+// Answer responds to another daemon's request for facts.
 func (s *Syncer) Answer(req *peerv1.FactsRequest) *peerv1.FactsResponse {
 	d := s.Holder.Since(catalog.Version(req.GetConfigVersion()), facts.Position(req.GetPosition()))
 	resp := toMessage(d)
@@ -67,10 +68,10 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.share.take(s.DocumentRate, len(d.Data), d.Config, req.GetAddress(), s.Boot.Now()) {
+	if !s.configBudget.take(s.DocumentRate, len(d.Data), d.Config, req.GetAddress(), s.Boot.Now()) {
 		s.Metrics.Inc("facts.documentDeferred")
 		resp.Config = nil
-		resp.AskInstead = append(resp.AskInstead, s.share.served...)
+		resp.AskInstead = append(resp.AskInstead, s.configBudget.served...)
 	}
 	return resp
 }
--- a/internal/factsync/beacons.go
+++ b/internal/factsync/beacons.go
@@ -9,11 +9,11 @@
 	"github.com/beechhead/beechhead/internal/peer/peerv1"
 )
 
-// directHosts is up to how many hosts a reader sends its beacons to all by
-// itself.
-const directHosts = 32
+// maxDirectHosts is the number of hosts up to which a reader sends its beacons
+// to all of them directly.
+const maxDirectHosts = 32
 
-// Beacon returns what this daemon tells of its facts.
+// Beacon returns what this daemon reports of its facts.
 func (s *Syncer) Beacon() *peerv1.Beacon {
 	self := s.Self()
 	sum := s.Holder.Summary()
@@ -29,32 +29,33 @@
 	}
 }
 
-// Tell tells all hosts after a read of the store. In a large fleet the first
-// host of each of some groups passes the beacon on, so that what a reader
-// sends grows with the square root of the fleet. The groups are drawn anew
-// each time: a host that is down cuts others off from one beacon only.
+// Tell notifies all hosts after a read of the store. In a large fleet the
+// hosts are divided into groups and the first host of each forwards the beacon
+// to the others, so that what a reader sends grows with the square root of the
+// fleet size. The groups are drawn again each time: a host that is down cuts
+// others off from one beacon only.
 func (s *Syncer) Tell() {
 	b := s.Beacon()
-	hosts := s.others()
-	if len(hosts) <= directHosts {
+	hosts := s.otherHosts()
+	if len(hosts) <= maxDirectHosts {
 		s.send(hosts, b)
 		return
 	}
 	for _, group := range s.groups(hosts) {
 		b.PassTo = b.PassTo[:0]
 		for _, h := range group[1:] {
-			b.PassTo = append(b.PassTo, shortName(h.ID))
+			b.PassTo = append(b.PassTo, hostHash(h.ID))
 		}
 		s.send(group[:1], b)
 	}
 }
 
-// shortName names a host in the list of those to whom a beacon is passed on.
-// Two hosts of one name both get it.
-func shortName(id membership.HostID) uint32 { return uint32(xxhash.Sum64String(string(id))) }
+// hostHash identifies a host in the list of those to which a beacon is
+// forwarded. Two hosts with the same hash both receive it.
+func hostHash(id membership.HostID) uint32 { return uint32(xxhash.Sum64String(string(id))) }
 
-// groups divides hosts at random into groups of the square root of their
-// number.
+// groups divides hosts at random into groups whose size is the square root of
+// their number.
 func (s *Syncer) groups(hosts []membership.Host) (groups [][]membership.Host) {
 	for i := len(hosts) - 1; i > 0; i-- {
 		j := s.Pick(i + 1)
@@ -79,42 +80,42 @@
 	}
 }
 
-// shortNames has the hosts of a snapshot by their short names.
-type shortNames struct {
-	of    *membership.Snapshot
-	hosts map[uint32][]membership.Host
+// hostIndex holds the hosts of a snapshot by their hashes.
+type hostIndex struct {
+	snapshot *membership.Snapshot
+	hosts    map[uint32][]membership.Host
 }
 
-// named returns the hosts of short names. One that is not known here gets the
-// next beacon by another way.
-func (s *Syncer) named(names []uint32) (hosts []membership.Host) {
+// hostsWithHashes returns the hosts with the given hashes. A host that is not
+// known here receives the next beacon by another route.
+func (s *Syncer) hostsWithHashes(names []uint32) (hosts []membership.Host) {
 	known := s.Hosts()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.names.of != known {
-		s.names = shortNames{of: known, hosts: map[uint32][]membership.Host{}}
+	if s.hostsByHash.snapshot != known {
+		s.hostsByHash = hostIndex{snapshot: known, hosts: map[uint32][]membership.Host{}}
 		self := s.Self().ID
 		for _, h := range known.All() {
 			if h.ID != self {
-				s.names.hosts[shortName(h.ID)] = append(s.names.hosts[shortName(h.ID)], h)
+				s.hostsByHash.hosts[hostHash(h.ID)] = append(s.hostsByHash.hosts[hostHash(h.ID)], h)
 			}
 		}
 	}
 	for _, name := range names {
-		hosts = append(hosts, s.names.hosts[name]...)
+		hosts = append(hosts, s.hostsByHash.hosts[name]...)
 	}
 	return hosts
 }
 
-// OnBeacon takes in what a reader tells, and passes it on where it asks for
+// OnBeacon processes a reader's beacon, and forwards it if the beacon requests
 // that.
 func (s *Syncer) OnBeacon(b *peerv1.Beacon) {
 	if names := b.GetPassTo(); len(names) > 0 {
 		b.PassTo = nil
-		s.send(s.named(names), b)
+		s.send(s.hostsWithHashes(names), b)
 	}
 	s.mu.Lock()
-	s.heard[membership.HostID(b.GetHost())] = s.Boot.Now()
+	s.lastReads[membership.HostID(b.GetHost())] = s.Boot.Now()
 	s.mu.Unlock()
 	s.OnTold(b)
 }
--- a/internal/factsync/beacons_test.go
+++ b/internal/factsync/beacons_test.go
@@ -18,19 +18,20 @@
 )
 
 const (
-	// controlBudget is how many bytes a second a daemon may spend on control.
+	// controlBudget is how many bytes per second a daemon may spend on control
+	// messages.
 	controlBudget = 16 << 10
-	// tellsPerSecond is how often a reader tells at most.
-	tellsPerSecond = 3
+	// beaconsPerSecond is how many beacons a reader sends per second at most.
+	beaconsPerSecond = 3
 )
 
-// beaconSite is a number of daemons whose datagrams arrive at once.
+// beaconSite is a set of daemons whose datagrams arrive at once.
 type beaconSite struct {
 	hosts   []membership.Host
 	known   *membership.Snapshot
 	daemons map[string]*Syncer
-	// sent counts the bytes that each host has sent, got the beacons that have
-	// reached it.
+	// sent counts the bytes that each host has sent, got the beacons that each
+	// has received.
 	sent map[string]int
 	got  map[string]int
 }
@@ -62,7 +63,7 @@
 	return s
 }
 
-// newTestHolder returns facts with numbers as long as real ones.
+// newTestHolder returns facts with numbers as long as those in production.
 func newTestHolder(clock *storetime.Clock) *facts.Holder {
 	const moment = 1 << 41
 	h := facts.NewHolder(clock, func([]byte) (*catalog.Catalog, error) { return &catalog.Catalog{}, nil })
@@ -73,7 +74,7 @@
 }
 
 func (s *beaconSite) deliver(from string, to []string, b *peerv1.Beacon) {
-	s.sent[from] += len(to) * (proto.Size(b) + datagramHead)
+	s.sent[from] += len(to) * (proto.Size(b) + datagramOverhead)
 	for _, address := range to {
 		s.got[address]++
 		if one, ok := proto.Clone(b).(*peerv1.Beacon); ok {
@@ -82,18 +83,18 @@
 	}
 }
 
-// Guards against readers whose beacons grow with the fleet beyond what a daemon
-// may send, and against hosts that beacons do not reach when passed on.
+// Guards against beacons that cost a reader more than a daemon may send as the
+// fleet grows, and against hosts that forwarded beacons do not reach.
 func TestBeaconsOfALargeFleet(t *testing.T) {
-	for _, n := range []int{2, directHosts, directHosts + 2, 360} {
+	for _, n := range []int{2, maxDirectHosts, maxDirectHosts + 2, 360} {
 		s := newBeaconSite(n)
 		reader := s.hosts[0].PeerAddress
-		for range tellsPerSecond {
+		for range beaconsPerSecond {
 			s.daemons[reader].Tell()
 		}
 		for _, h := range s.hosts[1:] {
-			if got := s.got[h.PeerAddress]; got != tellsPerSecond {
-				t.Errorf("%d hosts: %s got %d of %d beacons", n, h.ID, got, tellsPerSecond)
+			if got := s.got[h.PeerAddress]; got != beaconsPerSecond {
+				t.Errorf("%d hosts: %s got %d of %d beacons", n, h.ID, got, beaconsPerSecond)
 			}
 		}
 		for address, sent := range s.sent {
--- a/internal/factsync/document_test.go
+++ b/internal/factsync/document_test.go
@@ -12,12 +12,12 @@
 
 // Guards against readers on narrow links that send a large configuration to
 // all hosts at once, behind which the streams of their own callers wait.
-func TestNarrowReaderSendsFewDocuments(t *testing.T) {
+func TestReaderOnNarrowLinkSendsFewConfigurations(t *testing.T) {
 	const (
 		hosts = 60
 		// document is the size of the configuration in bytes.
 		document = 120e3
-		// pause is how long a stream may be held up.
+		// pause is how long a stream may be delayed.
 		pause = 120 * time.Millisecond
 	)
 	var all []membership.Host
@@ -31,22 +31,22 @@
 		readers = append(readers, i)
 	}
 	synctest.Test(t, func(t *testing.T) {
-		p := &play{simSite: newSimSite(simTerms{seed: 1, hosts: hosts, narrow: readers})}
-		time.Sleep(4 * window)
+		p := &scenario{simSite: newSimSite(simParams{seed: 1, hosts: hosts, narrow: readers})}
+		time.Sleep(4 * stableTime)
 		p.store.put("c", "2 "+strings.Repeat("x", document))
-		p.within("configuration 2", bound, func(d *simDaemon) bool { return d.holder.Summary().Config == 2 })
+		p.checkWithin("configuration 2", bound, func(d *simDaemon) bool { return d.holder.Summary().Config == 2 })
 		p.wg.Wait()
-		for _, f := range p.faults {
+		for _, f := range p.violations {
 			t.Error(f)
 		}
 		for _, i := range readers {
-			if d := p.daemon(i); d.longest > pause {
-				t.Errorf("a stream of %s may wait for %v behind documents", d.id, d.longest)
+			if d := p.daemon(i); d.longestWait > pause {
+				t.Errorf("a stream of %s may wait for %v behind configurations", d.id, d.longestWait)
 			}
 		}
 		for i := range hosts {
 			p.kill(i)
 		}
-		time.Sleep(window)
+		time.Sleep(stableTime)
 	})
 }
--- a/internal/factsync/outage_test.go
+++ b/internal/factsync/outage_test.go
@@ -10,46 +10,48 @@
 
 const (
 	outageTime = 4500 * time.Millisecond
-	// outageCalls bounds the calls of a large fleet to a store that is away for
-	// outageTime.
+	// outageCalls bounds the calls of a large fleet to a store that is
+	// unavailable for outageTime.
 	outageCalls = 300
-	// returnTime is how soon after its return everybody knows what is new.
-	returnTime = 1200 * time.Millisecond
+	// recoveryTime is how soon after an outage all hosts must know what has
+	// changed.
+	recoveryTime = 1200 * time.Millisecond
 )
 
-// Guards against a fleet that calls the store with every host while it is away.
-func TestFewDaemonsProbeAStoreThatIsAway(t *testing.T) {
+// Guards against a fleet in which every host calls the store while it is
+// unavailable.
+func TestFewDaemonsProbeUnavailableStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newDarkSite(1, fleetHosts)
+		s := newStoppedSite(1, fleetHosts)
 		startFleet(s)
-		time.Sleep(2 * window)
-		before := s.store.called()
-		s.store.setAway(true)
+		time.Sleep(2 * stableTime)
+		before := s.store.callCount()
+		s.store.setUnavailable(true)
 		time.Sleep(outageTime)
-		n := s.store.called() - before
+		n := s.store.callCount() - before
 		t.Logf("%d calls", n)
 		if n > outageCalls {
 			t.Errorf("%d calls to the store in %v", n, outageTime)
 		}
-		s.store.setAway(false)
+		s.store.setUnavailable(false)
 		s.store.put("c", "2")
-		time.Sleep(returnTime)
+		time.Sleep(recoveryTime)
 		for i := range s.daemons {
 			if v := s.daemon(i).holder.Summary().Config; v != 2 {
-				t.Errorf("host %d knows configuration %d %v after the store's return", i, v, returnTime)
+				t.Errorf("host %d knows configuration %d %v after the outage", i, v, recoveryTime)
 			}
 		}
-		s.powerOff()
+		s.killAll()
 	})
 }
 
-// Guards against hosts that wait for readers which the store turns away, while
-// it would answer the others.
-func TestOthersReadWhenTheFirstAreTurnedAway(t *testing.T) {
+// Guards against hosts that wait for readers whose calls the store rejects,
+// though it would accept their own.
+func TestOthersReadWhenReadersAreRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newDarkSite(1, fleetHosts)
+		s := newStoppedSite(1, fleetHosts)
 		startFleet(s)
-		time.Sleep(2 * window)
+		time.Sleep(2 * stableTime)
 		first := s.daemon(0).view.Staying().CapableOrder(readerKey).Hosts[:fleetHosts/20]
 		refused := map[membership.HostID]bool{}
 		for _, h := range first {
@@ -63,6 +65,6 @@
 				t.Errorf("host %d knows configuration %d %v after the edit", i, v, bound)
 			}
 		}
-		s.powerOff()
+		s.killAll()
 	})
 }
--- a/internal/factsync/sim_test.go
+++ b/internal/factsync/sim_test.go
@@ -31,78 +31,79 @@
 	hostDelay  = 2 * time.Millisecond
 	storeDelay = 5 * time.Millisecond
 	sweepPause = 100 * time.Millisecond
-	// datagramHead is what IP and UDP add to a datagram, in bytes.
-	datagramHead = 28
+	// datagramOverhead is the size of a datagram's IP and UDP headers, in bytes.
+	datagramOverhead = 28
 )
 
-// documentPart is the part of a link that documents may take.
-const documentPart = 0.25
+// configLinkShare is the share of a link's bandwidth that configurations may
+// use.
+const configLinkShare = 0.25
 
-var errNoAnswer = errors.New("no answer")
+var errNoResponse = errors.New("no response")
 
-// bubbleClock tells the time since the simulation began.
-type bubbleClock struct{ start time.Time }
+// simClock returns the time since the simulation began.
+type simClock struct{ start time.Time }
 
-func (c bubbleClock) Now() time.Duration { return time.Since(c.start) + time.Second }
+func (c simClock) Now() time.Duration { return time.Since(c.start) + time.Second }
 
-// simDaemon is one daemon with the real reader, facts, heartbeats and
-// questions.
+// simDaemon is one daemon with the real reader, facts, heartbeats and syncer.
 type simDaemon struct {
-	site   *simSite
-	id     membership.HostID
-	view   *membership.View
-	holder *facts.Holder
-	sync   *Syncer
-	beats  *heartbeat.Exchanger
-	stop   context.CancelFunc
+	site       *simSite
+	id         membership.HostID
+	view       *membership.View
+	holder     *facts.Holder
+	sync       *Syncer
+	heartbeats *heartbeat.Exchanger
+	stop       context.CancelFunc
 
 	mu sync.Mutex
-	// resume is closed when a pause ends; nil is no pause.
+	// resume is closed when a pause ends; nil if there is none.
 	resume chan struct{}
 	dead   bool
-	// slow is added to each answer.
+	// slow is the additional delay of each response.
 	slow time.Duration
 	// sent counts the bytes of datagrams that the daemon has sent.
 	sent atomic.Int64
-	// steady is since when nothing has happened to the daemon.
-	steady time.Time
-	// linkFree is when the host's link has sent all documents, longest the
-	// longest that anything has waited behind them.
-	linkFree time.Time
-	longest  time.Duration
+	// stableSince is since when the daemon has not been disturbed.
+	stableSince time.Time
+	// linkFree is when the host's link will have sent all configurations,
+	// longestWait the longest time that anything has waited behind them.
+	linkFree    time.Time
+	longestWait time.Duration
 }
 
-// pass lets a message to or from the daemon take its time.
-func (d *simDaemon) pass(ctx context.Context, delay time.Duration) error {
+// deliver takes the time that a message to or from the daemon needs; it fails
+// if the daemon is dead.
+func (d *simDaemon) deliver(ctx context.Context, delay time.Duration) error {
 	d.mu.Lock()
 	resume, dead := d.resume, d.dead
 	d.mu.Unlock()
 	if dead {
 		<-ctx.Done()
-		return errNoAnswer
+		return errNoResponse
 	}
 	if resume != nil {
 		select {
 		case <-ctx.Done():
-			return errNoAnswer
+			return errNoResponse
 		case <-resume:
 		}
 	}
 	select {
 	case <-ctx.Done():
-		return errNoAnswer
+		return errNoResponse
 	case <-time.After(delay):
 		return nil
 	}
 }
 
-func (d *simDaemon) reached() bool {
+func (d *simDaemon) reachable() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return !d.dead && d.resume == nil
 }
 
-// pause freezes the daemon's messages for a time.
+// pause holds back the daemon's messages for a time.
 func (d *simDaemon) pause(length time.Duration) {
 	resume := make(chan struct{})
 	d.mu.Lock()
@@ -110,43 +111,43 @@
 	d.mu.Unlock()
 	time.Sleep(length)
 	d.mu.Lock()
-	d.resume, d.steady = nil, time.Now()
+	d.resume, d.stableSince = nil, time.Now()
 	d.mu.Unlock()
 	close(resume)
 }
 
-// inTouch tells whether nothing has happened to the daemon for a time.
-func (d *simDaemon) inTouch(window time.Duration) bool {
+// stableFor reports whether the daemon has not been disturbed for a time.
+func (d *simDaemon) stableFor(window time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return !d.dead && d.resume == nil && d.slow == 0 && time.Since(d.steady) >= window
+	return !d.dead && d.resume == nil && d.slow == 0 && time.Since(d.stableSince) >= window
 }
 
-// simSite is a number of daemons before one store, in simulated time.
+// simSite is a set of daemons that use one store, in simulated time.
 type simSite struct {
-	simTerms
+	simParams
 	mu      sync.Mutex
 	rng     *rand.Rand
-	clock   bubbleClock
+	clock   simClock
 	store   *simStore
 	daemons []*simDaemon
 }
 
-// simTerms are what does not change in a simulation.
-type simTerms struct {
+// simParams are the constant parameters of a simulation.
+type simParams struct {
 	seed  uint64
 	hosts int
 	// loss is the share of datagrams that are lost.
 	loss float64
-	// narrow has the hosts whose link carries narrowLink.
+	// narrow lists the hosts whose link has the bandwidth narrowLink.
 	narrow []int
-	// blind has receivers take any word for what they know.
-	blind bool
+	// unverified makes receivers accept any confirmation for what they know.
+	unverified bool
 }
 
-func newSimSite(terms simTerms) *simSite {
-	s := &simSite{simTerms: terms, rng: rand.New(rand.NewPCG(terms.seed, terms.seed)), clock: bubbleClock{start: time.Now()}}
-	s.store = &simStore{clock: s.clock, news: make(chan struct{})}
+func newSimSite(terms simParams) *simSite {
+	s := &simSite{simParams: terms, rng: rand.New(rand.NewPCG(terms.seed, terms.seed)), clock: simClock{start: time.Now()}}
+	s.store = &simStore{clock: s.clock, changed: make(chan struct{})}
 	s.store.put("c", "1")
 	for i := range 6 {
 		s.store.put(endpointKey(i), "10.0.0."+strconv.Itoa(i))
@@ -158,7 +159,7 @@
 	return s
 }
 
-// Bandwidths of hosts' links in bytes a second.
+// Bandwidths of hosts' links in bytes per second.
 const (
 	wideLink   = 700e6 / 8
 	narrowLink = 10e6 / 8
@@ -172,7 +173,7 @@
 	return wideLink
 }
 
-// hostName is the form of hosts' names.
+// hostName is the format of host names.
 const hostName = "host-%d"
 
 func endpointKey(i int) string { return "e" + strconv.Itoa(i) }
@@ -195,7 +196,7 @@
 	return s.daemons[i]
 }
 
-// start starts the daemon of a host anew.
+// start starts a new daemon on a host.
 func (s *simSite) start(i int) {
 	d := s.newDaemon(i)
 	ctx, stop := context.WithCancel(context.Background())
@@ -205,12 +206,12 @@
 	s.daemons[i] = d
 	s.mu.Unlock()
 	if before != nil {
-		before.end()
+		before.terminate()
 	}
 	reader := s.newReader(d)
 	go reader.Run(ctx)
 	go d.sync.Run(ctx)
-	go d.beats.Run(ctx)
+	go d.heartbeats.Run(ctx)
 	go func() {
 		for ctx.Err() == nil {
 			d.view.Sweep()
@@ -219,10 +220,10 @@
 	}()
 }
 
-// kill ends the daemon of a host at once.
-func (s *simSite) kill(i int) { s.daemon(i).end() }
+// kill terminates the daemon of a host at once.
+func (s *simSite) kill(i int) { s.daemon(i).terminate() }
 
-func (d *simDaemon) end() {
+func (d *simDaemon) terminate() {
 	d.mu.Lock()
 	d.dead = true
 	d.mu.Unlock()
@@ -232,7 +233,7 @@
 func (s *simSite) newDaemon(i int) *simDaemon {
 	clock := clockwork.NewRealClock()
 	id := membership.HostID(fmt.Sprintf(hostName, i))
-	d := &simDaemon{site: s, id: id, steady: time.Now()}
+	d := &simDaemon{site: s, id: id, stableSince: time.Now()}
 	d.view = membership.NewView(clock, membership.Host{
 		ID: id, Incarnation: uint64(time.Now().UnixNano()), State: membership.Starting, PeerAddress: strconv.Itoa(i),
 	})
@@ -242,21 +243,21 @@
 		c.Index()
 		return c, nil
 	})
-	d.holder.OnChange = d.adopt
+	d.holder.OnChange = d.markReady
 	d.sync = &Syncer{
 		Clock: clock, Boot: s.clock, Store: storeTime, Holder: d.holder,
 		Logger: slog.New(slog.DiscardHandler), Metrics: metric.NewRegistry(),
 		Self: d.view.Self, Hosts: d.view.Hosts, Staying: d.view.Staying,
 		Send: d.send, Ask: d.ask, Pick: s.pick, Expected: func() bool { return true },
-		DocumentRate: documentPart * s.link(id),
+		DocumentRate: configLinkShare * s.link(id),
 	}
 	d.sync.Start()
-	d.beats = &heartbeat.Exchanger{
-		Clock: clock, View: d.view, Count: func(string) {}, Call: d.beat,
+	d.heartbeats = &heartbeat.Exchanger{
+		Clock: clock, View: d.view, Count: func(string) {}, Call: d.heartbeat,
 		Replace:  func(string) {},
 		Heard:    func(membership.News, time.Time, time.Duration) {},
 		StoreAge: func() time.Duration { return 0 },
-		Facts:    d.sync.Beacon, OnFacts: func(b *peerv1.Beacon) { d.sync.OnTold(d.heard(b)) },
+		Facts:    d.sync.Beacon, OnFacts: func(b *peerv1.Beacon) { d.sync.OnTold(d.received(b)) },
 		Seeds: func() []string { return []string{"0", "1", "2"} },
 		Load:  func() uint32 { return 0 },
 
@@ -265,8 +266,8 @@
 	return d
 }
 
-// adopt makes the daemon ready once it has facts.
-func (d *simDaemon) adopt() {
+// markReady makes the daemon ready once it has facts.
+func (d *simDaemon) markReady() {
 	if sum := d.holder.Summary(); sum.Config == 0 || sum.Position == 0 {
 		return
 	}
--- a/internal/factsync/simnet_test.go
+++ b/internal/factsync/simnet_test.go
@@ -10,31 +10,31 @@
 	"github.com/beechhead/beechhead/internal/peer/peerv1"
 )
 
-// send loses datagrams as the site does.
+// send sends datagrams, of which some are lost as set for the site.
 func (d *simDaemon) send(addresses []string, b *peerv1.Beacon) error {
-	if !d.reached() {
+	if !d.reachable() {
 		return nil
 	}
 	b, _ = proto.Clone(b).(*peerv1.Beacon)
-	d.sent.Add(int64(len(addresses)) * int64(proto.Size(b)+datagramHead))
+	d.sent.Add(int64(len(addresses)) * int64(proto.Size(b)+datagramOverhead))
 	for _, address := range addresses {
 		i, err := strconv.Atoi(address)
 		if err != nil || d.site.chance(d.site.loss) {
 			continue
 		}
 		time.AfterFunc(hostDelay, func() {
-			if to := d.site.daemon(i); to.reached() {
+			if to := d.site.daemon(i); to.reachable() {
 				one, _ := proto.Clone(b).(*peerv1.Beacon)
-				to.sync.OnBeacon(to.heard(one))
+				to.sync.OnBeacon(to.received(one))
 			}
 		})
 	}
 	return nil
 }
 
-// heard returns what the daemon makes of a beacon.
-func (d *simDaemon) heard(b *peerv1.Beacon) *peerv1.Beacon {
-	if !d.site.blind {
+// received returns a beacon as the daemon processes it.
+func (d *simDaemon) received(b *peerv1.Beacon) *peerv1.Beacon {
+	if !d.site.unverified {
 		return b
 	}
 	own := d.holder.Summary()
@@ -45,20 +45,20 @@
 	}
 }
 
-// reach lets a call pass to the daemon at an address and returns it.
+// reach delivers a call to the daemon at an address and returns that daemon.
 func (d *simDaemon) reach(ctx context.Context, address string) (*simDaemon, error) {
 	i, err := strconv.Atoi(address)
 	if err != nil {
 		return nil, err
 	}
-	if err := d.pass(ctx, hostDelay); err != nil {
+	if err := d.deliver(ctx, hostDelay); err != nil {
 		return nil, err
 	}
 	to := d.site.daemon(i)
 	to.mu.Lock()
 	slow := to.slow
 	to.mu.Unlock()
-	return to, to.pass(ctx, hostDelay+slow)
+	return to, to.deliver(ctx, hostDelay+slow)
 }
 
 func (d *simDaemon) ask(ctx context.Context, address string, req *peerv1.FactsRequest) (*peerv1.FactsResponse, error) {
@@ -67,11 +67,11 @@
 		return nil, err
 	}
 	resp := to.sync.Answer(req)
-	return resp, to.carry(ctx, len(resp.GetConfig()))
+	return resp, to.transmit(ctx, len(resp.GetConfig()))
 }
 
-// carry lets a document of n bytes leave the daemon's host.
-func (d *simDaemon) carry(ctx context.Context, n int) error {
+// transmit waits until a configuration of n bytes has left the daemon's host.
+func (d *simDaemon) transmit(ctx context.Context, n int) error {
 	if n == 0 {
 		return nil
 	}
@@ -80,7 +80,7 @@
 	if d.linkFree.Before(now) {
 		d.linkFree = now
 	}
-	d.longest = max(d.longest, d.linkFree.Sub(now))
+	d.longestWait = max(d.longestWait, d.linkFree.Sub(now))
 	d.linkFree = d.linkFree.Add(time.Duration(float64(n) / d.site.link(d.id) * float64(time.Second)))
 	left := d.linkFree.Sub(now)
 	d.mu.Unlock()
@@ -92,10 +92,10 @@
 	}
 }
 
-func (d *simDaemon) beat(ctx context.Context, address string, req *peerv1.HeartbeatRequest) (*peerv1.HeartbeatResponse, error) {
+func (d *simDaemon) heartbeat(ctx context.Context, address string, req *peerv1.HeartbeatRequest) (*peerv1.HeartbeatResponse, error) {
 	to, err := d.reach(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	return to.beats.Answer(req), nil
+	return to.heartbeats.Answer(req), nil
 }
--- a/internal/factsync/simstore_test.go
+++ b/internal/factsync/simstore_test.go
@@ -14,25 +14,25 @@
 // simStore is the platform's store as the readers see it.
 type simStore struct {
 	mu      sync.Mutex
-	clock   bubbleClock
+	clock   simClock
 	version uint64
-	// floor is the version since which the history is known.
+	// floor is the version from which on the history is available.
 	floor uint64
 	rows  []platform.FeedRow
-	// written has when each of the rows was written.
+	// written holds when each of the rows was written.
 	written []time.Duration
 	era     platform.Era
-	// news is closed and replaced with each change.
-	news chan struct{}
-	// calls counts the calls that have come.
+	// changed is closed and replaced with each change.
+	changed chan struct{}
+	// calls counts the calls received.
 	calls int
-	// away says that the store refuses all calls, refused has the hosts whose
-	// calls it refuses.
-	away    bool
-	refused map[membership.HostID]bool
+	// unavailable is set while the store rejects all calls, refused holds the
+	// hosts whose calls it rejects.
+	unavailable bool
+	refused     map[membership.HostID]bool
 }
 
-// put writes a row; an empty value removes it. It returns the version.
+// put writes a row and returns its version; an empty value removes the row.
 func (s *simStore) put(key, value string) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -44,13 +44,13 @@
 }
 
 func (s *simStore) wake() {
-	close(s.news)
-	s.news = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-// comeBack has the store return from a copy that is some time old. What was
-// written since is gone, and its versions are given out again.
-func (s *simStore) comeBack(ago time.Duration) {
+// restore restores the store from a backup of the given age. What was written
+// since is lost, and its versions are assigned again.
+func (s *simStore) restore(ago time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	at := s.clock.Now() - ago
@@ -60,17 +60,17 @@
 	}
 	s.floor = min(s.floor, s.version)
 	s.era++
-	s.away = false
+	s.unavailable = false
 	s.wake()
 }
 
-func (s *simStore) forget() {
+func (s *simStore) dropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.floor = s.version
 }
 
-func (s *simStore) answer(keep func(platform.FeedRow) bool) platform.Rows {
+func (s *simStore) response(keep func(platform.FeedRow) bool) platform.Rows {
 	a := platform.Rows{Version: s.version, NowMs: s.clock.Now().Milliseconds(), Era: s.era, HasEra: true}
 	for _, row := range s.rows {
 		if keep(row) {
@@ -88,12 +88,12 @@
 	for _, row := range s.rows {
 		newest[row.Key] = row.Version
 	}
-	return s.answer(func(r platform.FeedRow) bool {
+	return s.response(func(r platform.FeedRow) bool {
 		return strings.HasPrefix(r.Key, prefix) && newest[r.Key] == r.Version && !r.Removed
 	})
 }
 
-// changes returns the rows after a version, or a channel that is closed with
+// changes returns the rows after a version, and a channel that is closed with
 // the next change.
 func (s *simStore) changes(prefix string, since uint64) (platform.Rows, <-chan struct{}, error) {
 	s.mu.Lock()
@@ -101,7 +101,7 @@
 	if since < s.floor || since > s.version {
 		return platform.Rows{}, nil, platform.ErrHistoryGone
 	}
-	return s.answer(func(r platform.FeedRow) bool { return strings.HasPrefix(r.Key, prefix) && r.Version > since }), s.news, nil
+	return s.response(func(r platform.FeedRow) bool { return strings.HasPrefix(r.Key, prefix) && r.Version > since }), s.changed, nil
 }
 
 func (s *simStore) count() {
@@ -110,14 +110,14 @@
 	s.calls++
 }
 
-// setAway lets the store go away, or come back.
-func (s *simStore) setAway(away bool) {
+// setUnavailable makes the store unavailable, or available again.
+func (s *simStore) setUnavailable(away bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away = away
+	s.unavailable = away
 }
 
-// refuse has the store turn some hosts away.
+// refuse makes the store reject the calls of some hosts.
 func (s *simStore) refuse(hosts map[membership.HostID]bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,13 +127,13 @@
 func (s *simStore) refuses(id membership.HostID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.away || s.refused[id]
+	return s.unavailable || s.refused[id]
 }
 
 func (s *simStore) feed(d *simDaemon, prefix string) facts.Feed {
 	return facts.Feed{
 		Snapshot: func(ctx context.Context) (platform.Rows, error) {
-			if err := d.pass(ctx, storeDelay); err != nil {
+			if err := d.deliver(ctx, storeDelay); err != nil {
 				return platform.Rows{}, platform.ErrUnavailable
 			}
 			if s.refuses(d.id) {
@@ -146,13 +146,13 @@
 			timeout := time.After(wait)
 			s.count()
 			for {
-				if err := d.pass(ctx, storeDelay); err != nil {
+				if err := d.deliver(ctx, storeDelay); err != nil {
 					return platform.Rows{}, platform.ErrUnavailable
 				}
 				if s.refuses(d.id) {
 					return platform.Rows{}, platform.ErrUnavailable
 				}
-				rows, news, err := s.changes(prefix, since)
+				rows, changed, err := s.changes(prefix, since)
 				if err != nil || len(rows.Rows) > 0 {
 					return rows, err
 				}
@@ -162,14 +162,14 @@
 				case <-timeout:
 					rows, _, err = s.changes(prefix, since)
 					return rows, err
-				case <-news:
+				case <-changed:
 				}
 			}
 		},
 	}
 }
 
-func (s *simStore) called() int {
+func (s *simStore) callCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
--- a/internal/factsync/sources.go
+++ b/internal/factsync/sources.go
@@ -9,89 +9,92 @@
 	"github.com/beechhead/beechhead/internal/facts"
 )
 
-// askAgain is the time before a daemon is asked again that did not help.
-const askAgain = 150 * time.Millisecond
+// refetchDelay is the time before another request to a daemon whose response
+// did not bring what was missing.
+const refetchDelay = 150 * time.Millisecond
 
-// told is how far the facts of a daemon reach.
-type told struct {
+// versions states how far the facts of a daemon reach.
+type versions struct {
 	config  catalog.Version
 	changed facts.Position
 }
 
-// newer tells whether a daemon that has told so knows something that one with
-// these facts lacks.
-func (n told) newer(s facts.Summary) bool { return n.config > s.Config || n.changed > s.Position }
+// newerThan reports whether a daemon with these versions knows something that
+// one with the given facts lacks.
+func (n versions) newerThan(s facts.Summary) bool {
+	return n.config > s.Config || n.changed > s.Position
+}
 
 // source is a daemon that knows something newer.
 type source struct {
-	told told
-	// notBefore is the local time before which it is not asked again.
+	versions versions
+	// notBefore is the local time before which no other request is sent to it.
 	notBefore time.Duration
 }
 
-// sources decides which daemons are asked for facts. A daemon that tells of
-// news while another is asked is remembered, since the other may be silent or
-// know less.
+// sources decides to which daemons requests for facts are sent. A daemon that
+// reports something newer during a request to another is remembered, since the
+// other may not respond or know less.
 type sources struct {
 	known map[string]source
-	// asking has the addresses with a question under way.
-	asking map[string]bool
+	// inFlight holds the addresses with a request in flight.
+	inFlight map[string]bool
 }
 
 func newSources() sources {
-	return sources{known: map[string]source{}, asking: map[string]bool{}}
+	return sources{known: map[string]source{}, inFlight: map[string]bool{}}
 }
 
-// add notes that the daemon at an address knows something newer.
-func (q *sources) add(address string, n told) {
+// add records that the daemon at an address knows something newer.
+func (q *sources) add(address string, n versions) {
 	known := q.known[address]
-	known.told.config = max(known.told.config, n.config)
-	known.told.changed = max(known.told.changed, n.changed)
+	known.versions.config = max(known.versions.config, n.config)
+	known.versions.changed = max(known.versions.changed, n.changed)
 	q.known[address] = known
 }
 
-// question is one question for facts.
-type question struct {
+// fetchTarget is the daemon to which a request for facts is sent.
+type fetchTarget struct {
 	address string
-	// document says that the answer is expected to have a configuration.
-	document bool
+	// withConfig is set if the response is expected to contain a configuration.
+	withConfig bool
 }
 
-// next begins a question; false if none is to be asked. Daemons that have
-// nothing new any more are forgotten.
-func (q *sources) next(s facts.Summary, now time.Duration, pick func(n int) int) (question, bool) {
+// next marks a request as in flight and returns its target; false if none is
+// to be sent. Daemons that no longer have anything newer are forgotten.
+func (q *sources) next(s facts.Summary, now time.Duration, pick func(n int) int) (fetchTarget, bool) {
 	var candidates []string
 	for _, address := range slices.Sorted(maps.Keys(q.known)) {
 		one := q.known[address]
 		switch {
-		case !one.told.newer(s):
+		case !one.versions.newerThan(s):
 			delete(q.known, address)
-		case now >= one.notBefore && !q.asking[address]:
+		case now >= one.notBefore && !q.inFlight[address]:
 			candidates = append(candidates, address)
 		}
 	}
-	if len(candidates) == 0 || len(q.asking) >= questionsAtOnce {
-		return question{}, false
+	if len(candidates) == 0 || len(q.inFlight) >= maxConcurrentFetches {
+		return fetchTarget{}, false
 	}
 	address := candidates[pick(len(candidates))]
-	q.asking[address] = true
-	return question{address: address, document: q.known[address].told.config > s.Config}, true
+	q.inFlight[address] = true
+	return fetchTarget{address: address, withConfig: q.known[address].versions.config > s.Config}, true
 }
 
-// begin notes that a daemon is asked without a cause; false if it is being
-// asked already.
+// begin marks an unprompted request to a daemon as in flight; false if there
+// is already one.
 func (q *sources) begin(address string) bool {
-	if q.asking[address] {
+	if q.inFlight[address] {
 		return false
 	}
-	q.asking[address] = true
+	q.inFlight[address] = true
 	return true
 }
 
-// end notes that a question is over. A daemon that did not answer is asked
-// again only when it tells of news once more.
+// end records that a request is finished. A daemon that did not respond
+// receives another one only when it reports something newer again.
 func (q *sources) end(address string, now time.Duration, answered bool) {
-	delete(q.asking, address)
+	delete(q.inFlight, address)
 	one, ok := q.known[address]
 	if !ok {
 		return
@@ -100,6 +103,6 @@
 		delete(q.known, address)
 		return
 	}
-	one.notBefore = now + askAgain
+	one.notBefore = now + refetchDelay
 	q.known[address] = one
 }
--- a/internal/factsync/start_test.go
+++ b/internal/factsync/start_test.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// fleetHosts is the size of a large fleet, someHosts one whose beacons are
-	// passed on as well.
+	// fleetHosts is the size of a large fleet, someHosts that of a smaller one in
+	// which beacons are forwarded as well.
 	fleetHosts = 120
-	someHosts  = 2 * directHosts
-	// startCalls bounds the calls to the store until a fleet that starts at
-	// once knows all, startTime the time that it takes.
+	someHosts  = 2 * maxDirectHosts
+	// startCalls bounds the calls to the store until all hosts of a fleet that
+	// starts at once have the facts, startTime the time that it takes.
 	startCalls = 50
 	startTime  = 1500 * time.Millisecond
 	// startSpread is the time within which the hosts of a fleet start.
@@ -26,9 +26,9 @@
 	}
 }
 
-// newDarkSite returns a site without power.
-func newDarkSite(seed uint64, hosts int) *simSite {
-	s := newSimSite(simTerms{seed: seed})
+// newStoppedSite returns a site on which no daemon runs.
+func newStoppedSite(seed uint64, hosts int) *simSite {
+	s := newSimSite(simParams{seed: seed})
 	s.hosts = hosts
 	for i := range hosts {
 		d := s.newDaemon(i)
@@ -38,7 +38,7 @@
 	return s
 }
 
-func (s *simSite) informed() (n int) {
+func (s *simSite) informedHosts() (n int) {
 	for i := range s.daemons {
 		if sum := s.daemon(i).holder.Summary(); sum.Config > 0 && sum.Position > 0 {
 			n++
@@ -47,74 +47,74 @@
 	return n
 }
 
-func (s *simSite) powerOff() {
+func (s *simSite) killAll() {
 	for i := range s.daemons {
 		s.kill(i)
 	}
-	time.Sleep(window)
+	time.Sleep(stableTime)
 }
 
-// Guards against a fleet that reads the store with every host when all of them
-// start at once, or that takes long to learn from the few that do.
+// Guards against a fleet in which every host reads the store when all of them
+// start at once, or to which the facts spread slowly from the few that do.
 func TestStartOfALargeFleet(t *testing.T) {
 	for seed := range uint64(2) {
 		synctest.Test(t, func(t *testing.T) {
-			s := newDarkSite(seed, fleetHosts)
+			s := newStoppedSite(seed, fleetHosts)
 			for range 2 {
-				before := s.store.called()
+				before := s.store.callCount()
 				startFleet(s)
 				time.Sleep(startSpread)
 				began := time.Now()
-				for s.informed() < fleetHosts && time.Since(began) < startTime {
+				for s.informedHosts() < fleetHosts && time.Since(began) < startTime {
 					time.Sleep(10 * time.Millisecond)
 				}
-				t.Logf("seed %d: %d of %d know all %v after the last start, %d calls", seed, s.informed(), fleetHosts, time.Since(began), s.store.called()-before)
-				if n := s.informed(); n < fleetHosts {
+				t.Logf("seed %d: %d of %d know all %v after the last start, %d calls", seed, s.informedHosts(), fleetHosts, time.Since(began), s.store.callCount()-before)
+				if n := s.informedHosts(); n < fleetHosts {
 					t.Errorf("seed %d: %d of %d hosts know all after %v", seed, n, fleetHosts, startTime)
 				}
-				if n := s.store.called() - before; n > startCalls {
+				if n := s.store.callCount() - before; n > startCalls {
 					t.Errorf("seed %d: %d calls to the store", seed, n)
 				}
-				s.powerOff()
+				s.killAll()
 			}
 		})
 	}
 }
 
-// Guards against a fleet that reads the store with every host while the
-// operators have not written their configuration yet.
+// Guards against a fleet in which every host reads the store while the
+// operators have not written a configuration yet.
 func TestStartBeforeTheConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newDarkSite(1, someHosts)
+		s := newStoppedSite(1, someHosts)
 		s.store.put("c", "")
 		startFleet(s)
-		time.Sleep(window)
-		before := s.store.called()
-		time.Sleep(window)
-		// Two readers wait for news on two feeds, each for less than a second.
-		if n, most := s.store.called()-before, int(4*2*window/time.Second); n > most {
-			t.Errorf("%d calls to the store in %v, %d are allowed", n, window, most)
+		time.Sleep(stableTime)
+		before := s.store.callCount()
+		time.Sleep(stableTime)
+		// Two readers poll two feeds, each poll takes less than a second.
+		if n, most := s.store.callCount()-before, int(4*2*stableTime/time.Second); n > most {
+			t.Errorf("%d calls to the store in %v, %d are allowed", n, stableTime, most)
 		}
 		s.store.put("c", "2")
 		time.Sleep(bound)
-		if n := s.informed(); n < someHosts {
+		if n := s.informedHosts(); n < someHosts {
 			t.Errorf("%d of %d hosts know the configuration after %v", n, someHosts, bound)
 		}
-		s.powerOff()
+		s.killAll()
 	})
 }
 
-// Guards against a host that waits for others for good: all hosts that its
+// Guards against a host that waits for others forever: all hosts that its
 // settings name are down.
-func TestStartWithoutOthers(t *testing.T) {
+func TestStartWithoutOtherDaemons(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newDarkSite(1, someHosts)
+		s := newStoppedSite(1, someHosts)
 		lone := someHosts - 1
 		s.start(lone)
-		time.Sleep(meetTime + bound/4)
+		time.Sleep(discoveryTime + bound/4)
 		if sum := s.daemon(lone).holder.Summary(); sum.Config == 0 || sum.Position == 0 {
-			t.Errorf("a host alone knows configuration %d and position %d", sum.Config, sum.Position)
+			t.Errorf("a single host knows configuration %d and position %d", sum.Config, sum.Position)
 		}
-		s.powerOff()
+		s.killAll()
 	})
 }
--- a/internal/factsync/suspects_test.go
+++ b/internal/factsync/suspects_test.go
@@ -11,63 +11,64 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// suspectsBound is how soon all hosts must keep a request back after the third
-// endpoint has ended under it, wherever each of them was seen to end.
+// suspectsBound is how soon all hosts must quarantine a request after the
+// third endpoint has terminated while it ran there, whichever hosts saw the
+// endpoints terminate.
 const suspectsBound = 3 * time.Second
 
-var suspectsHosts = flag.Int("suspectsHosts", fleetHosts, "size of the large fleet in the test of news about requests that end endpoints")
+var suspectsHosts = flag.Int("suspectsHosts", fleetHosts, "size of the large fleet in the test of how suspect requests are reported")
 
-// Guards against hosts that still send a request under which endpoints have
-// ended elsewhere, when the time for the news is over; two of them are paused.
+// Guards against hosts that still send a request on after suspectsBound though
+// endpoints have terminated under it elsewhere; one host is paused meanwhile.
 func TestSuspectsAreKnownInTime(t *testing.T) {
 	for _, hosts := range []int{13, *suspectsHosts} {
 		t.Run(fmt.Sprint(hosts, " hosts"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newDarkSite(1, hosts)
+				s := newStoppedSite(1, hosts)
 				startFleet(s)
-				time.Sleep(window)
-				var most time.Duration
+				time.Sleep(stableTime)
+				var longest time.Duration
 				for round := range 5 {
-					most = max(most, s.spreadSuspect(t, quarantine.Fingerprint(round+1)))
+					longest = max(longest, s.spreadSuspect(t, quarantine.Fingerprint(round+1)))
 				}
-				t.Logf("%d hosts: %v", hosts, most)
-				s.powerOff()
+				t.Logf("%d hosts: %v", hosts, longest)
+				s.killAll()
 			})
 		})
 	}
 }
 
-// spreadSuspect has three endpoints end under a request, each at another host,
-// and returns how long it takes until all hosts that are not paused keep it
-// back.
+// spreadSuspect makes three endpoints terminate under a request, each at a
+// random host, and returns how long it takes until all hosts that are not
+// paused quarantine it.
 func (s *simSite) spreadSuspect(t *testing.T, f quarantine.Fingerprint) time.Duration {
 	n := len(s.daemons)
 	paused := s.daemon(s.pick(n))
 	go paused.pause(suspectsBound)
 	for i := 0; i < 3; {
 		if d := s.daemon(s.pick(n)); d != paused {
-			d.beats.Suspects.RecordTermination(f, table.EndpointName(fmt.Sprint("engine-", i)))
+			d.heartbeats.Suspects.RecordTermination(f, table.EndpointName(fmt.Sprint("engine-", i)))
 			i++
 		}
 	}
 	began := time.Now()
 	for time.Since(began) < suspectsBound {
 		time.Sleep(10 * time.Millisecond)
-		if s.allKeep(f, paused) {
+		if s.allQuarantined(f, paused) {
 			break
 		}
 	}
-	if !s.allKeep(f, paused) {
+	if !s.allQuarantined(f, paused) {
 		t.Errorf("request %d is still sent %v later", f, suspectsBound)
 	}
 	took := time.Since(began)
-	time.Sleep(window)
+	time.Sleep(stableTime)
 	return took
 }
 
-func (s *simSite) allKeep(f quarantine.Fingerprint, but *simDaemon) bool {
+func (s *simSite) allQuarantined(f quarantine.Fingerprint, except *simDaemon) bool {
 	for i := range s.daemons {
-		if d := s.daemon(i); d != but && !d.beats.Suspects.IsQuarantined(f) {
+		if d := s.daemon(i); d != except && !d.heartbeats.Suspects.IsQuarantined(f) {
 			return false
 		}
 	}
--- a/internal/factsync/syncer.go
+++ b/internal/factsync/syncer.go
@@ -1,7 +1,8 @@
-// Package factsync keeps a daemon's facts as new as the store's: a few daemons
-// read the store and tell the others by datagrams, who ask for what they lack.
-// A daemon that is not told in time asks by itself, and at last reads the
-// store. See docs/design/freshness.md for the bound that this keeps.
+// Package factsync keeps a daemon's facts up to date with the store: a few
+// daemons read the store and notify the others by datagrams, who request what
+// they lack. A daemon that is not notified in time sends requests by itself,
+// and as a last resort reads the store. See docs/design/freshness.md for the
+// bound that this keeps.
 package factsync
 
 import (
@@ -22,34 +23,34 @@
 )
 
 const (
-	// readerKey ranks the hosts that read the store.
+	// readerKey is the key by which hosts are ranked for reading the store.
 	readerKey = "reader"
-	// askTimeout bounds a question for another daemon's facts, documentTimeout
-	// one whose answer has a configuration, which may take its time on a narrow
-	// link.
-	askTimeout      = 300 * time.Millisecond
-	documentTimeout = time.Second
-	// askAfter is how old the facts may be before this daemon asks others for
-	// theirs, though nobody told it of newer ones.
-	askAfter = time.Second
-	// answerLife is how long an answer shows that others can be reached: two
-	// rounds of questions in an outage.
-	answerLife = 2 * outagePause
-	// tickPause is the time between two looks at the age of the facts.
-	tickPause = 100 * time.Millisecond
-	// outagePause is the time between two rounds of questions while nobody
-	// seems to know more, or none has been told anything yet.
-	outagePause = 500 * time.Millisecond
-	// meetTime is how long a new daemon waits to hear of another one, or for its
-	// answer, before it reads the store by itself.
-	meetTime = 300 * time.Millisecond
-	// questionsAtOnce bounds the questions under way, so that one host that is
-	// silent does not hold up the answer of another.
-	questionsAtOnce = 2
+	// fetchTimeout bounds a request for another daemon's facts,
+	// configFetchTimeout one whose response contains a configuration, which may
+	// take longer on a slow link.
+	fetchTimeout       = 300 * time.Millisecond
+	configFetchTimeout = time.Second
+	// fetchAge is how old the facts may be before this daemon requests those of
+	// others, though none has reported newer ones.
+	fetchAge = time.Second
+	// responseLifetime is how long a response shows that other daemons can be
+	// reached: two rounds of requests in an outage.
+	responseLifetime = 2 * outageFetchInterval
+	// checkInterval is the time between two checks of the age of the facts.
+	checkInterval = 100 * time.Millisecond
+	// outageFetchInterval is the time between two rounds of requests while no
+	// daemon seems to know more, or none has received any facts yet.
+	outageFetchInterval = 500 * time.Millisecond
+	// discoveryTime is how long a new daemon waits to discover another one, or
+	// for its response, before it reads the store itself.
+	discoveryTime = 300 * time.Millisecond
+	// maxConcurrentFetches bounds the requests in flight, so that one host that
+	// does not respond does not delay the response of another.
+	maxConcurrentFetches = 2
 )
 
-// Syncer keeps one daemon's facts new. All fields must be set before it is
-// used. It is safe for concurrent use.
+// Syncer keeps one daemon's facts up to date. All fields must be set before it
+// is used. It is safe for concurrent use.
 type Syncer struct {
 	Clock   clockwork.Clock
 	Boot    boottime.Clock
@@ -57,66 +58,66 @@
 	Holder  *facts.Holder
 	Logger  *slog.Logger
 	Metrics *metric.Registry
-	// Self returns this host, Hosts all that are known, Staying those of them
-	// that are alive and not on their way out.
+	// Self returns this host, Hosts all known ones, Staying those of them that
+	// are alive and not leaving.
 	Self           func() membership.Host
 	Hosts, Staying func() *membership.Snapshot
-	// Send sends a beacon to the hosts of peer addresses.
+	// Send sends a beacon to the hosts of the given peer addresses.
 	Send func(addresses []string, b *peerv1.Beacon) error
-	// Ask asks the daemon at a peer address for its facts.
+	// Ask requests the facts of the daemon at a peer address.
 	Ask func(ctx context.Context, address string, req *peerv1.FactsRequest) (*peerv1.FactsResponse, error)
 	// Pick returns a random number below n.
 	Pick func(n int) int
-	// Expected tells whether other hosts are expected to be there, though none
-	// is known yet.
+	// Expected reports whether other hosts are expected to exist, though none is
+	// known yet.
 	Expected func() bool
-	// DocumentRate is how many bytes a second of configurations this host sends
+	// DocumentRate is how many bytes per second of configurations this host sends
 	// to others; zero is no limit.
 	DocumentRate float64
 
 	started time.Duration
 
 	mu sync.Mutex
-	// heard has when hosts were last heard to have read the store, as far as
-	// that is of use to OnDuty.
-	heard   map[membership.HostID]time.Duration
-	names   shortNames
-	sources sources
-	share   share
-	// asked is when the last round of questions without a cause began, answered
-	// when a daemon last answered a question.
-	asked, answered time.Duration
+	// lastReads holds when each host last reported a read of the store, as far as
+	// OnDuty needs it.
+	lastReads    map[membership.HostID]time.Duration
+	hostsByHash  hostIndex
+	sources      sources
+	configBudget sendBudget
+	// lastFetchRound is when the last round of unprompted requests began,
+	// lastResponse when a daemon last responded to a request.
+	lastFetchRound, lastResponse time.Duration
 }
 
-// Start must be called once before the others are.
+// Start must be called once before the other methods.
 func (s *Syncer) Start() {
 	s.started = s.Boot.Now()
-	s.heard = map[membership.HostID]time.Duration{}
+	s.lastReads = map[membership.HostID]time.Duration{}
 	s.sources = newSources()
 }
 
-// Run asks for facts when they grow old, until ctx ends.
+// Run requests facts when they become old, until ctx is cancelled.
 func (s *Syncer) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.Clock.After(tickPause):
+		case <-s.Clock.After(checkInterval):
 		}
 		s.Holder.Expire()
-		s.askWhenOld()
-		s.askSources()
+		s.fetchWhenStale()
+		s.fetchFromSources()
 	}
 }
 
-// age returns how old the older of the facts are; false if one is unknown.
+// age returns the age of the older of the facts; false if one is unknown.
 func (s *Syncer) age() (time.Duration, bool) {
 	config, known := s.Holder.ConfigAge()
 	endpoints, listed := s.Holder.EndpointsAge()
 	return max(config, endpoints), known && listed
 }
 
-// OnDuty tells whether this daemon is to read the store.
+// OnDuty reports whether this daemon is to read the store.
 func (s *Syncer) OnDuty() bool {
 	now := s.Boot.Now()
 	age, known := s.age()
@@ -129,45 +130,47 @@
 		rank = len(order.Hosts)
 	}
 	switch {
-	case facts.Stale(age) && s.unanswered(now), known && facts.Probes(rank, age):
+	case facts.Stale(age) && s.noRecentResponse(now), known && facts.Probes(rank, age):
 		return true
-	case !stays || !known && s.meeting():
+	case !stays || !known && s.discovering():
 		return false
 	}
 	// A new daemon waits for the readers before it reads.
-	return facts.Duty(rank, s.heardAhead(order, rank, now), now-s.started)
+	return facts.Duty(rank, s.readsAhead(order, rank, now), now-s.started)
 }
 
-// unanswered tells whether no other daemon has answered a question lately.
-func (s *Syncer) unanswered(now time.Duration) bool {
+// noRecentResponse reports whether no other daemon has responded to a request
+// recently.
+func (s *Syncer) noRecentResponse(now time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.answered == 0 || now-s.answered > answerLife
+	return s.lastResponse == 0 || now-s.lastResponse > responseLifetime
 }
 
-// meeting tells whether this daemon is new and may soon hear of others, or
-// learn what it has asked one for. All daemons that start at once would read
-// the store otherwise.
-func (s *Syncer) meeting() bool {
-	if s.Boot.Now()-s.started >= meetTime {
+// discovering reports whether this daemon is new and may soon discover others,
+// or receive the response to a request. All daemons that start at the same
+// time would read the store otherwise.
+func (s *Syncer) discovering() bool {
+	if s.Boot.Now()-s.started >= discoveryTime {
 		return false
 	}
 	s.mu.Lock()
-	asking := len(s.sources.asking) > 0
+	asking := len(s.sources.inFlight) > 0
 	s.mu.Unlock()
 	return asking || s.Hosts().Len() == 1 && s.Expected()
 }
 
-// heardAhead returns how long ago the first hosts in an order were heard to
-// have read, as far as they were, and forgets what is of no use any more.
-func (s *Syncer) heardAhead(order *membership.Order, rank int, now time.Duration) (ago []time.Duration) {
+// readsAhead returns the time since the last reported read of each host before
+// the rank in the order, as far as any was reported, and drops entries that
+// are no longer needed.
+func (s *Syncer) readsAhead(order *membership.Order, rank int, now time.Duration) (ago []time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for id, at := range s.heard {
+	for id, at := range s.lastReads {
 		position, ok := order.Position(id)
 		switch {
 		case now-at > facts.Patience(len(order.Hosts)):
-			delete(s.heard, id)
+			delete(s.lastReads, id)
 		case ok && position < rank:
 			ago = append(ago, now-at)
 		}
@@ -175,8 +178,8 @@
 	return ago
 }
 
-// OnTold takes in what any daemon tells of its facts, and asks it for what is
-// missing here.
+// OnTold processes what any daemon reports of its facts, and requests from it
+// what is missing here.
 func (s *Syncer) OnTold(b *peerv1.Beacon) {
 	if b == nil {
 		return
@@ -184,49 +187,49 @@
 	s.Holder.OpenGrace(storetime.Instant(b.GetGraceUntil()))
 	s.Holder.ConfirmConfig(catalog.Version(b.GetConfigVersion()), storetime.Instant(b.GetConfigAsOf()))
 	s.Holder.ConfirmEndpoints(facts.Position(b.GetChanged()), facts.Position(b.GetPosition()), storetime.Instant(b.GetEndpointsAsOf()))
-	n := told{config: catalog.Version(b.GetConfigVersion()), changed: facts.Position(b.GetChanged())}
-	if !n.newer(s.Holder.Summary()) {
+	n := versions{config: catalog.Version(b.GetConfigVersion()), changed: facts.Position(b.GetChanged())}
+	if !n.newerThan(s.Holder.Summary()) {
 		return
 	}
 	s.mu.Lock()
 	s.sources.add(b.GetAddress(), n)
 	s.mu.Unlock()
-	s.askSources()
+	s.fetchFromSources()
 }
 
-// askSources asks the daemons that have told of something newer, as far as
-// questions are free.
-func (s *Syncer) askSources() {
+// fetchFromSources sends requests to the daemons that have reported something
+// newer, within the limit of requests in flight.
+func (s *Syncer) fetchFromSources() {
 	for {
 		sum := s.Holder.Summary()
 		s.mu.Lock()
-		q, ok := s.sources.next(sum, s.Boot.Now(), s.Pick)
+		target, ok := s.sources.next(sum, s.Boot.Now(), s.Pick)
 		s.mu.Unlock()
 		if !ok {
 			return
 		}
-		go s.ask(q)
+		go s.fetch(target)
 	}
 }
 
-// askWhenOld asks hosts drawn at random while the facts are old here. A host
-// that is cut off from the store and from its readers still serves as long as
-// some daemon that it reaches can vouch for what it knows.
-func (s *Syncer) askWhenOld() {
+// fetchWhenStale sends requests to hosts drawn at random while the facts are
+// old here. A host that is cut off from the store and from its readers still
+// serves as long as it reaches a daemon that can confirm its facts.
+func (s *Syncer) fetchWhenStale() {
 	age, known := s.age()
-	if known && age < askAfter {
+	if known && age < fetchAge {
 		return
 	}
 	now := s.Boot.Now()
 	s.mu.Lock()
-	if (!known || age > 2*askAfter) && s.asked > 0 && now-s.asked < outagePause {
+	if (!known || age > 2*fetchAge) && s.lastFetchRound > 0 && now-s.lastFetchRound < outageFetchInterval {
 		s.mu.Unlock()
 		return
 	}
-	s.asked = now
+	s.lastFetchRound = now
 	s.mu.Unlock()
-	hosts := s.others()
-	for range min(questionsAtOnce, len(hosts)) {
+	hosts := s.otherHosts()
+	for range min(maxConcurrentFetches, len(hosts)) {
 		i := s.Pick(len(hosts))
 		address := hosts[i].PeerAddress
 		hosts[i] = hosts[len(hosts)-1]
@@ -235,13 +238,13 @@
 		ok := s.sources.begin(address)
 		s.mu.Unlock()
 		if ok {
-			go s.ask(question{address: address})
+			go s.fetch(fetchTarget{address: address})
 		}
 	}
 }
 
-// others returns the hosts but this one.
-func (s *Syncer) others() (others []membership.Host) {
+// otherHosts returns all known hosts except this one.
+func (s *Syncer) otherHosts() (others []membership.Host) {
 	self := s.Self().ID
 	for _, h := range s.Hosts().All() {
 		if h.ID != self {
@@ -251,31 +254,32 @@
 	return others
 }
 
-// ask asks a daemon for what this one lacks. The question must have begun.
-func (s *Syncer) ask(q question) {
-	err := s.learnFrom(q)
+// fetch requests what this daemon lacks from another one. The request must be
+// marked as in flight.
+func (s *Syncer) fetch(target fetchTarget) {
+	err := s.fetchFrom(target)
 	s.mu.Lock()
-	s.sources.end(q.address, s.Boot.Now(), err == nil)
+	s.sources.end(target.address, s.Boot.Now(), err == nil)
 	if err == nil {
-		s.answered = s.Boot.Now()
+		s.lastResponse = s.Boot.Now()
 	}
 	s.mu.Unlock()
 	if err != nil {
 		s.Metrics.Inc("facts.fetchFailed")
 	}
-	s.askSources()
+	s.fetchFromSources()
 }
 
-func (s *Syncer) learnFrom(q question) error {
-	timeout := askTimeout
-	if q.document {
-		timeout = documentTimeout
+func (s *Syncer) fetchFrom(target fetchTarget) error {
+	timeout := fetchTimeout
+	if target.withConfig {
+		timeout = configFetchTimeout
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	sum := s.Holder.Summary()
 	sent := s.Boot.Now()
-	resp, err := s.Ask(ctx, q.address, &peerv1.FactsRequest{
+	resp, err := s.Ask(ctx, target.address, &peerv1.FactsRequest{
 		ConfigVersion: uint64(sum.Config),
 		Position:      uint64(sum.Position),
 		Address:       s.Self().PeerAddress,
@@ -288,14 +292,14 @@
 		s.Store.Observe(sent, storetime.Instant(resp.GetStoreNow()))
 	}
 	d := fromMessage(resp)
-	d.From = q.address
+	d.From = target.address
 	if err := s.Holder.Learn(d); err != nil {
-		s.Logger.Error("facts not taken", "from", q.address, "error", err)
+		s.Logger.Error("facts not taken", "from", target.address, "error", err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, other := range resp.GetAskInstead() {
-		s.sources.add(other, told{config: d.Config})
+		s.sources.add(other, versions{config: d.Config})
 	}
 	return nil
 }
--- a/internal/storetime/storetime_test.go
+++ b/internal/storetime/storetime_test.go
@@ -7,8 +7,9 @@
 	"github.com/beechhead/beechhead/internal/boottime"
 )
 
-// A daemon is cut off from the store. It must not take its facts for younger
-// than they are, whatever the calls took by which it learnt the store's time.
+// Guards against a daemon that is cut off from the store and takes its facts
+// for younger than they are because of slow calls in which it observed the
+// store's time.
 func TestLatestIsNeverEarly(t *testing.T) {
 	var boot boottime.Fake
 	c := NewClock(&boot)
@@ -38,7 +39,7 @@
 	}
 }
 
-// The machine is suspended: the store's time goes on meanwhile.
+// The store's time advances while the machine is suspended.
 func TestLatestCountsSuspension(t *testing.T) {
 	var boot boottime.Fake
 	c := NewClock(&boot)
