--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,7 +1,7 @@
 // Package catalog holds the configuration that operators keep in the
-// platform's store: routes to classes of requests, client accounts with their
-// keys, and the pools of endpoints. It finds the class of a request and
-// derives the table by which requests are placed.
+// platform's store: routes, client accounts with their API keys, and pools of
+// endpoints. It looks up the route and account of a request and derives the
+// scheduling table from the routes.
 package catalog
 
 import (
@@ -12,10 +12,11 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// Version orders configurations; the operators' versions grow in uneven steps.
+// Version orders configurations. Operators' versions increase, but not by one
+// each time.
 type Version uint64
 
-// Kind tells what may be repeated.
+// Kind determines whether a request may be retried.
 type Kind int
 
 // The kinds of request.
@@ -24,38 +25,41 @@
 	Safe Kind = iota + 1
 	// Unsafe requests may run at most once.
 	Unsafe
-	// Stream requests are answered by events. They may run once, and go on
-	// elsewhere if their route is resumable.
+	// Stream requests are answered by an event stream. They may run at most
+	// once, unless their route is resumable: then the stream may be continued
+	// at another endpoint.
 	Stream
 )
 
-// Route leads requests of one host and path prefix to a class.
+// Route maps requests for one host and path prefix to a class.
 type Route struct {
 	Name string
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Resumable streams may go on at another endpoint.
+	// Resumable allows a stream to be continued at another endpoint.
 	Resumable bool
 	// Public routes need no key.
 	Public bool
 	Tier   table.Tier
 	// Shares has at least one entry with a positive weight.
 	Shares []Share
-	// Attempts bounds the endpoints that may run one request; at least 1.
+	// Attempts is the maximum number of endpoints that may run one request; at
+	// least 1.
 	Attempts int
-	// Timeout is the longest that a caller is kept; positive.
+	// Timeout bounds the time until the response is complete; positive.
 	Timeout time.Duration
-	// Target is the promised time to the answer or its first event, Pause
-	// that between events; zero promises nothing.
+	// Target is the latency target for the response or, for streams, the time
+	// to first token. Pause is the target for the gap between events. Zero
+	// means no target.
 	Target, Pause time.Duration
-	// Leaves is how long callers wait for the first event; zero is until the
-	// timeout.
+	// Leaves is how long callers wait for the first event before they
+	// disconnect; zero means until the timeout.
 	Leaves time.Duration
 }
 
-// Share is a pool's part of a route's requests.
+// Share is the weight with which a route's requests are sent to a pool.
 type Share struct {
 	Pool   table.Pool
 	Weight float64
@@ -65,7 +69,7 @@
 type Account struct {
 	Name table.AccountName
 	Keys []string
-	// Tier replaces the route's if HasTier is set.
+	// Tier overrides the route's tier if HasTier is set.
 	Tier    table.Tier
 	HasTier bool
 }
@@ -73,23 +77,25 @@
 // Pool is a set of interchangeable endpoints.
 type Pool struct {
 	Name table.Pool
-	// MaxConnections is what one endpoint accepts from all callers together.
+	// MaxConnections is how many connections one endpoint accepts from all
+	// daemons together; zero means no known limit.
 	MaxConnections int
-	// Memory is that of one engine in tokens; zero is a plain service.
+	// Memory is the KV cache size of one engine in tokens; zero marks a plain
+	// service.
 	Memory int
-	// Slots is how many requests an engine runs at once; zero leaves it to
-	// the endpoint.
+	// Slots is how many requests an engine runs concurrently. It applies if the
+	// endpoint's own registration has no number; zero means not configured.
 	Slots int
 }
 
-// Limits bound what a caller may send; zero is unlimited.
+// Limits bounds what a caller may send; zero means unlimited.
 type Limits struct {
 	HeaderBytes, BodyBytes int64
-	// Idle is how long callers may leave a connection idle.
+	// Idle is the idle timeout of callers' connections.
 	Idle time.Duration
 }
 
-// Catalog is one version of the configuration. It does not change after Index.
+// Catalog is one version of the configuration. It is immutable after Index.
 type Catalog struct {
 	Version  Version
 	Routes   []Route
@@ -102,7 +108,7 @@
 	pools  map[table.Pool]*Pool
 }
 
-// Index prepares the look-ups. It must be called once, before any of them.
+// Index builds the lookup maps. It must be called once, before any lookup.
 func (c *Catalog) Index() {
 	c.byHost = map[string][]*Route{}
 	for i := range c.Routes {
@@ -124,8 +130,8 @@
 	}
 }
 
-// Route returns the route of a host with the longest prefix that begins the
-// path, or nil.
+// Route returns the host's route with the longest matching path prefix, or
+// nil.
 func (c *Catalog) Route(host, path string) *Route {
 	for _, r := range c.byHost[host] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -135,7 +141,7 @@
 	return nil
 }
 
-// Account returns the account that holds a key, or nil.
+// Account returns the account to which an API key belongs, or nil.
 func (c *Catalog) Account(key string) *Account {
 	if key == "" {
 		return nil
@@ -143,16 +149,16 @@
 	return c.byKey[key]
 }
 
-// HasAccounts tells whether requests need keys.
+// HasAccounts reports whether requests need an API key.
 func (c *Catalog) HasAccounts() bool { return len(c.Accounts) > 0 }
 
-// Pool returns a pool, or nil.
+// Pool returns the pool with the given name, or nil.
 func (c *Catalog) Pool(name table.Pool) *Pool { return c.pools[name] }
 
-// IdleConnections returns how many idle connections each of a number of
-// daemons may keep to an endpoint, so that all of them together, with those
-// that are in use, stay within what the endpoint of any pool accepts; zero if
-// no pool names a limit.
+// IdleConnections returns how many idle connections each of the given number
+// of daemons may keep to one endpoint, so that together with the connections
+// in use they stay within the smallest MaxConnections of all pools. It returns
+// zero if no pool has a limit.
 func (c *Catalog) IdleConnections(daemons int) int {
 	least := 0
 	for _, p := range c.Pools {
@@ -167,7 +173,8 @@
 	return least
 }
 
-// TierOf returns the tier of an account's requests on a route.
+// TierOf returns the tier of an account's requests on a route: the account's
+// own tier if it has one, else the route's.
 func TierOf(r *Route, a *Account) table.Tier {
 	if a != nil && a.HasTier {
 		return a.Tier
@@ -175,7 +182,8 @@
 	return r.Tier
 }
 
-// Pick returns the pool for a number drawn evenly from [0, 1).
+// Pick returns a pool, chosen by the weights of the shares; draw is a uniform
+// random number in [0, 1).
 func (r *Route) Pick(draw float64) table.Pool {
 	total := 0.0
 	for _, s := range r.Shares {
--- a/internal/catalog/derive.go
+++ b/internal/catalog/derive.go
@@ -7,17 +7,18 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// ClassName names the class of a route's requests in one tier. Accounts may
-// have a tier of their own, so that one route can have several classes.
+// ClassName returns the name of the class of a route's requests in one tier.
+// Accounts can override the tier, so one route can have several classes.
 func ClassName(r *Route, tier table.Tier) table.ClassName {
 	return table.ClassName(r.Name + "/" + strconv.Itoa(int(tier)))
 }
 
-// maxWaitShare is the part of a route's timeout after which ageing gives a
-// waiting request the next place.
-const maxWaitShare = 2
+// maxWaitDivisor divides a route's timeout into the time after which ageing
+// gives a queued request the next free slot.
+const maxWaitDivisor = 2
 
-// Table returns the table by which requests are placed on the endpoints.
+// Table returns the scheduling table: the given endpoints, and one class for
+// each route and tier.
 func (c *Catalog) Table(endpoints []table.Endpoint) *table.Table {
 	t := &table.Table{Endpoints: endpoints}
 	tiers := c.accountTiers()
@@ -31,7 +32,7 @@
 	return t
 }
 
-// accountTiers returns the tiers that accounts have of their own.
+// accountTiers returns the distinct tiers that accounts set for themselves.
 func (c *Catalog) accountTiers() []table.Tier {
 	var tiers []table.Tier
 	for i := range c.Accounts {
@@ -55,7 +56,7 @@
 		Tier:       tier,
 		Weight:     1,
 		Target:     table.Target{FirstToken: table.Duration(r.Target), BetweenTokens: table.Duration(r.Pause)},
-		MaxWait:    table.Duration(r.Timeout / maxWaitShare),
+		MaxWait:    table.Duration(r.Timeout / maxWaitDivisor),
 		Idempotent: r.Kind == Safe,
 	}
 	for _, s := range r.Shares {
--- a/internal/gateway/front.go
+++ b/internal/gateway/callers.go
@@ -23,31 +23,33 @@
 )
 
 const (
-	// staleAfter is how old the configuration may be for this daemon to say
-	// that a route or key does not exist: a newer one may have it.
+	// staleAfter is the age of the configuration up to which the daemon answers
+	// that a route or API key does not exist. If it is older, a newer
+	// configuration may contain them.
 	staleAfter = 1500 * time.Millisecond
-	// revokeMargin is how much before the bound of revoked keys a daemon that
-	// hears of no newer configuration stops using keys. The bound counts from
-	// when the caller sent its request, which came earlier than the check.
+	// revokeMargin is subtracted from the time limit within which revoked API
+	// keys must stop working: a daemon whose configuration is older rejects all
+	// keys. The margin is needed since the limit counts from when the caller
+	// sent its request, which is earlier than the check.
 	revokeMargin = 250 * time.Millisecond
-	// bodyTimeout bounds the time in which a body must come.
+	// bodyTimeout is the timeout for reading a request body.
 	bodyTimeout = 10 * time.Second
-	// retryStale is what callers are told to wait when this daemon's facts are
-	// too old; others may have newer ones.
-	retryStale = 200 * time.Millisecond
-	// defaultDeadline is how long a caller is taken to wait that does not say.
+	// staleRetryAfter is the Retry-After value when this daemon's facts are too
+	// old; other daemons may have newer ones.
+	staleRetryAfter = 200 * time.Millisecond
+	// defaultDeadline applies to requests without a deadline.
 	defaultDeadline = time.Minute
 )
 
 type connKey struct{}
 
-// withConn makes the connection known to its requests.
+// withConn adds the connection to the context of its requests.
 func withConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// serveCaller answers one request. It is not routed by a library: the path is
-// the endpoint's, and must reach it byte for byte.
+// serveCaller serves one request. It uses no router, since the path must reach
+// the endpoint byte for byte.
 func (g *Gateway) serveCaller(w http.ResponseWriter, r *http.Request) {
 	g.inProgress.Add(1)
 	defer g.inProgress.Add(-1)
@@ -74,7 +76,7 @@
 	g.refuse(w, r, &call, outcome.FromError(err))
 }
 
-// refuse ends a request that no endpoint has answered.
+// refuse responds to a request that no endpoint has answered.
 func (g *Gateway) refuse(w http.ResponseWriter, r *http.Request, call *wire.Call, refusal *outcome.Refusal) {
 	g.metrics.Refused(refusal.Reason)
 	g.logger.Info("refused", "request", call.ID, "outcome", refusal.Outcome, "reason", refusal.Reason, "message", refusal.Message,
@@ -88,11 +90,12 @@
 	wire.WriteRefusal(w, call.ID, refusal)
 }
 
-// admit finds a request's class and account and reads its body.
+// admit determines a request's route and account and reads its body. It returns
+// either the request to forward or a refusal.
 func (g *Gateway) admit(w http.ResponseWriter, r *http.Request, call *wire.Call, began time.Duration) (*forward.Request, *outcome.Refusal) {
 	if g.refusing.Load() {
 		refusal := outcome.NotRunError(outcome.ReasonLeaving, "this host is leaving")
-		refusal.RetryAfter = retryStale
+		refusal.RetryAfter = staleRetryAfter
 		return nil, refusal
 	}
 	if c, ok := r.Context().Value(connKey{}).(*framing.Conn); ok && c.Conflict() {
@@ -110,7 +113,7 @@
 	if refusal != nil {
 		return nil, refusal
 	}
-	req := g.request(r, call, m, body, began)
+	req := g.forwardRequest(r, call, m, body, began)
 	req.Target = target
 	req.Fingerprint = quarantine.FingerprintOf(req.Account, r.Method, r.Host, target, body)
 	req.MaySend = func() *outcome.Refusal {
@@ -120,7 +123,7 @@
 	return req, nil
 }
 
-// target returns a request's target and path as the caller wrote them.
+// target returns a request's target and path exactly as the caller sent them.
 func target(r *http.Request) (target, path string) {
 	target = r.RequestURI
 	if !strings.HasPrefix(target, "/") {
@@ -130,80 +133,80 @@
 	return target, path
 }
 
-// match is what the configuration says of a request.
+// match is the route and account that the configuration has for a request.
 type match struct {
 	catalog *catalog.Catalog
 	route   *catalog.Route
 	account *catalog.Account
 }
 
-// match finds the route and the account of a request in the configuration in
-// force. What it does not find may have been added since, unless the
-// configuration is known to be the newest; what it finds may have been taken
-// away.
+// match looks up the route and the account of a request in the current
+// configuration. A route or key that is missing may have been added since, and
+// a key that is found may have been revoked. If the configuration is too old to
+// tell, the request is refused as stale.
 func (g *Gateway) match(host, path, key string) (match, *outcome.Refusal) {
 	c := g.holder.Catalog()
 	if c == nil {
-		return match{}, stale(outcome.ReasonNotReady, "no configuration is known")
+		return match{}, staleRefusal(outcome.ReasonNotReady, "no configuration has been received")
 	}
 	age, ok := g.holder.ConfigAge()
 	m := match{catalog: c, route: c.Route(host, path)}
 	if m.route == nil {
-		return m, missing(ok && age < staleAfter, outcome.ReasonUnknownPath, "no route begins the path")
+		return m, notFound(ok && age < staleAfter, outcome.ReasonUnknownPath, "no route matches the path")
 	}
 	if m.route.Public || !c.HasAccounts() {
 		return m, nil
 	}
 	if !ok || age >= g.conf().Gateway.RevokeAfter.Std()-revokeMargin {
-		return m, stale(outcome.ReasonStaleTable, "the configuration may be out of date")
+		return m, staleRefusal(outcome.ReasonStaleTable, "the configuration may be out of date")
 	}
 	if m.account = c.Account(key); m.account == nil {
-		return m, missing(age < staleAfter, outcome.ReasonUnauthorized, "no account holds the key")
+		return m, notFound(age < staleAfter, outcome.ReasonUnauthorized, "the API key belongs to no account")
 	}
 	return m, nil
 }
 
-func missing(fresh bool, reason outcome.Reason, message string) *outcome.Refusal {
+func notFound(fresh bool, reason outcome.Reason, message string) *outcome.Refusal {
 	if !fresh {
-		return stale(outcome.ReasonStaleTable, message)
+		return staleRefusal(outcome.ReasonStaleTable, message)
 	}
 	return outcome.NotRunError(reason, message)
 }
 
-func stale(reason outcome.Reason, message string) *outcome.Refusal {
+func staleRefusal(reason outcome.Reason, message string) *outcome.Refusal {
 	refusal := outcome.NotRunError(reason, message)
-	refusal.RetryAfter = retryStale
+	refusal.RetryAfter = staleRetryAfter
 	return refusal
 }
 
-// readBody reads the whole body. Only then does the server notice that the
-// caller leaves, and only then can the request be sent once more.
-func readBody(w http.ResponseWriter, r *http.Request, most int64) ([]byte, *outcome.Refusal) {
+// readBody reads the whole body. This is required for retries, and the server
+// detects that the caller disconnects only after the body has been read.
+func readBody(w http.ResponseWriter, r *http.Request, maxBytes int64) ([]byte, *outcome.Refusal) {
 	if r.Body == nil || r.ContentLength == 0 {
 		return nil, nil
 	}
-	if most > 0 && r.ContentLength > most {
+	if maxBytes > 0 && r.ContentLength > maxBytes {
 		return nil, outcome.NotRunError(outcome.ReasonTooLarge, "the body is too large")
 	}
 	control := http.NewResponseController(w)
 	_ = control.SetReadDeadline(time.Now().Add(bodyTimeout))
 	defer func() { _ = control.SetReadDeadline(time.Time{}) }()
 	reader := io.Reader(r.Body)
-	if most > 0 {
-		reader = io.LimitReader(r.Body, most+1)
+	if maxBytes > 0 {
+		reader = io.LimitReader(r.Body, maxBytes+1)
 	}
 	body, err := io.ReadAll(reader)
 	switch {
 	case err != nil:
 		return nil, outcome.NotRunError(outcome.ReasonBadRequest, "the body does not come whole")
-	case most > 0 && int64(len(body)) > most:
+	case maxBytes > 0 && int64(len(body)) > maxBytes:
 		return nil, outcome.NotRunError(outcome.ReasonTooLarge, "the body is too large")
 	}
 	return body, nil
 }
 
-// request makes the request that is forwarded.
-func (g *Gateway) request(r *http.Request, call *wire.Call, m match, body []byte, began time.Duration) *forward.Request {
+// forwardRequest builds the request to forward.
+func (g *Gateway) forwardRequest(r *http.Request, call *wire.Call, m match, body []byte, began time.Duration) *forward.Request {
 	route := m.route
 	tier := catalog.TierOf(route, m.account)
 	account := table.AccountName("")
@@ -243,14 +246,14 @@
 	}
 }
 
-// writeHead passes on the head of an answer.
+// writeHead forwards the status and headers of a response.
 func writeHead(w http.ResponseWriter, status int, h http.Header, length int64) {
 	out := w.Header()
 	for name, values := range wire.AnswerHeader(h) {
 		out[name] = values
 	}
 	if _, ok := out["Content-Type"]; !ok {
-		// net/http would guess one.
+		// Prevents net/http from guessing the type.
 		out["Content-Type"] = nil
 	}
 	if length >= 0 {
@@ -259,7 +262,7 @@
 	w.WriteHeader(status)
 }
 
-// writeBody passes bytes on at once.
+// writeBody forwards a part of the body and flushes it.
 func writeBody(w http.ResponseWriter, p []byte) error {
 	if _, err := w.Write(p); err != nil {
 		return err
--- a/internal/gateway/knowledge.go
+++ b/internal/gateway/facts.go
@@ -20,24 +20,26 @@
 )
 
 const (
-	// documentPart is the part of this host's link and processor that
-	// configurations for other hosts may take.
-	documentPart = 0.25
-	// bytesPerMbit converts a link's bandwidth.
+	// documentFraction is the fraction of this host's network bandwidth and CPU
+	// that may be used for sending configurations to other hosts.
+	documentFraction = 0.25
+	// bytesPerMbit converts a bandwidth from Mbit/s to bytes per second.
 	bytesPerMbit = 1e6 / 8
-	// compressRate is how many bytes a second an ordinary core compresses.
-	compressRate = 40e6
+	// compressBytesPerSecond is the number of bytes per second that one core of
+	// ordinary speed compresses.
+	compressBytesPerSecond = 40e6
 )
 
-// buildFacts prepares the reading of the store and the facts that come of it.
+// buildFacts creates the store client and the components that read, hold and
+// distribute facts.
 func (g *Gateway) buildFacts() {
 	client := platform.NewClientWith(g.clock, g.conf().Platform.URL, endpoint.NewTransport(), g.conf().Platform.Timeout.Std(), g.metrics)
 	g.store = client.WithWire(wire.StoreWire())
 	g.storeTime = storetime.NewClock(g.boot)
 	g.holder = facts.NewHolder(g.storeTime, wire.ParseConfig)
-	g.holder.OnChange = g.adopt
-	g.holder.OnNews = g.logNews
-	g.holder.OnEra = g.noteEra
+	g.holder.OnChange = g.applyFacts
+	g.holder.OnNews = g.logEndpointChange
+	g.holder.OnEra = g.onNewEra
 	g.sync = &factsync.Syncer{
 		Clock:        g.clock,
 		Boot:         g.boot,
@@ -49,7 +51,7 @@
 		Hosts:        g.view.Hosts,
 		Staying:      g.view.Staying,
 		Send:         func(addresses []string, b *peerv1.Beacon) error { return g.beacons.Send(addresses, b) },
-		Ask:          g.askFacts,
+		Ask:          g.requestFacts,
 		Pick:         rand.IntN,
 		Expected:     g.expectsHosts,
 		DocumentRate: documentRate(g.conf().Gateway.Machine),
@@ -71,36 +73,37 @@
 	}
 }
 
-// documentRate returns how many bytes a second of configurations a machine may
-// send; zero is no limit.
+// documentRate returns the rate, in bytes per second, at which a machine may
+// send configurations; zero means unlimited.
 func documentRate(m *settings.Machine) float64 {
 	if m == nil {
 		return 0
 	}
-	return documentPart * min(m.LinkMbps*bytesPerMbit, m.ProcessorShare*m.ProcessorSpeed*compressRate)
+	return documentFraction * min(m.LinkMbps*bytesPerMbit, m.ProcessorShare*m.ProcessorSpeed*compressBytesPerSecond)
 }
 
-func (g *Gateway) askFacts(ctx context.Context, address string, req *peerv1.FactsRequest) (*peerv1.FactsResponse, error) {
+func (g *Gateway) requestFacts(ctx context.Context, address string, req *peerv1.FactsRequest) (*peerv1.FactsResponse, error) {
 	return g.peers.Client(address).Facts(ctx, req)
 }
 
-// logNews logs which endpoints came and went, and who told.
-func (g *Gateway) logNews(c facts.Change) {
+// logEndpointChange logs which endpoints were added or removed, and the source
+// of the update.
+func (g *Gateway) logEndpointChange(c facts.Change) {
 	g.logger.LogAttrs(context.Background(), slog.LevelInfo, "endpoints changed", c.Attrs()...)
 }
 
-// noteEra notes that the store has come back from a copy. What this daemon has
-// written there may be lost, so it is written again.
-func (g *Gateway) noteEra(from, to platform.Era) {
+// onNewEra handles a new era, which means that the store was restored from a
+// copy. This daemon's registration may be lost, so it is written again.
+func (g *Gateway) onNewEra(from, to platform.Era) {
 	g.metrics.Inc("store.eras")
 	g.logger.Warn("store came back from a copy", "fromEra", uint64(from), "era", uint64(to), "position", g.holder.Summary().Position.Version())
-	g.listedSelf.Store(false)
+	g.selfRegistered.Store(false)
 }
 
-// adopt puts new facts in force.
-func (g *Gateway) adopt() {
-	g.adopting.Lock()
-	defer g.adopting.Unlock()
+// applyFacts applies new facts to the scheduling components.
+func (g *Gateway) applyFacts() {
+	g.applyMu.Lock()
+	defer g.applyMu.Unlock()
 	c := g.holder.Catalog()
 	s := g.holder.Summary()
 	if c == nil || s.Position == 0 && len(g.holder.Endpoints()) == 0 {
@@ -123,15 +126,16 @@
 	g.logger.Info("facts in force", "config", c.Version, "endpoints", len(endpoints), "draining", len(draining), "position", s.Position.Version(), "era", uint64(s.Position.Era()))
 }
 
-// limitConnections divides what endpoints accept over the hosts.
+// limitConnections sets this daemon's share of the connections that endpoints
+// accept.
 func (g *Gateway) limitConnections() {
 	if c := g.holder.Catalog(); c != nil {
 		g.forwarder.Pool.SetMaxIdle(c.IdleConnections(g.view.Hosts().Len()))
 	}
 }
 
-// tableEndpoints returns the endpoints whose pool the configuration names, and
-// which of them take no new work.
+// tableEndpoints returns the endpoints whose pool is in the configuration, and
+// the names of those that are draining.
 func tableEndpoints(c *catalog.Catalog, known []facts.Endpoint, region string) (endpoints []table.Endpoint, draining []table.EndpointName) {
 	for _, e := range known {
 		pool := c.Pool(e.Pool)
@@ -163,8 +167,8 @@
 	return endpoints, draining
 }
 
-// usable tells whether an endpoint still takes work, as far as this daemon
-// knows itself.
+// usable reports whether an endpoint still accepts requests according to this
+// daemon's own facts.
 func (g *Gateway) usable(e *table.Endpoint) bool {
 	known, ok := g.holder.Endpoint(facts.IDOf(e.Name))
 	return ok && !known.Gone && !known.Draining && known.Name() == e.Name
--- a/internal/gateway/fleet_bench_test.go
+++ b/internal/gateway/fleet_bench_test.go
@@ -19,14 +19,15 @@
 
 const (
 	fleetZones = 6
-	// fleetMoment is the time at the store, fleetPosition the version up to
-	// which the daemon knows it.
-	fleetMoment   = storetime.Instant(1 << 40)
+	// fleetTime is the store's time, and fleetPosition the store's version that
+	// the daemon knows.
+	fleetTime     = storetime.Instant(1 << 40)
 	fleetPosition = facts.Position(1 << 20)
 )
 
-// fleetDaemon returns a daemon that runs nothing by itself and knows a fleet of
-// hosts, itself included, and endpoints. It neither reads nor coordinates.
+// fleetDaemon returns a daemon without running goroutines that knows the given
+// numbers of hosts, including itself, and endpoints. It is neither a reader of
+// the store nor a coordinator.
 func fleetDaemon(tb testing.TB, hosts, endpoints int) *Gateway {
 	tb.Helper()
 	g := New(&settings.Settings{
@@ -52,7 +53,7 @@
 	return g
 }
 
-// fleetHost returns one of the hosts, of which one in ten is strong.
+// fleetHost returns host i. One host in ten has a high capacity.
 func fleetHost(i int) membership.Host {
 	h := membership.Host{
 		ID:            membership.HostID(fmt.Sprintf("front-z%d-%d", i%fleetZones, i)),
@@ -77,19 +78,19 @@
 	return readers
 }
 
-// learnFleet gives a daemon a configuration and endpoints.
+// learnFleet supplies a daemon with a configuration and endpoints.
 func (g *Gateway) learnFleet(tb testing.TB, endpoints int) {
 	tb.Helper()
-	g.storeTime.Observe(g.boot.Now(), fleetMoment)
+	g.storeTime.Observe(g.boot.Now(), fleetTime)
 	document := standin.SampleDocument()
 	data, err := json.Marshal(document)
 	if err != nil {
 		tb.Fatal(err)
 	}
-	if err := g.holder.SetConfig(facts.Config{Version: 1, Data: data}, fleetMoment); err != nil {
+	if err := g.holder.SetConfig(facts.Config{Version: 1, Data: data}, fleetTime); err != nil {
 		tb.Fatal(err)
 	}
-	news := facts.News{Whole: true, Position: fleetPosition, AsOf: fleetMoment}
+	news := facts.News{Whole: true, Position: fleetPosition, AsOf: fleetTime}
 	for i := range endpoints {
 		news.Endpoints = append(news.Endpoints, facts.Endpoint{
 			ID: facts.EndpointID(fmt.Sprintf("i-%06d", i)), Pool: "llm", Address: fmt.Sprintf("10.1.%d.%d:80", i/256, i%256),
@@ -99,7 +100,7 @@
 	g.holder.Merge(news)
 }
 
-// benchFleets runs a benchmark for fleets of several sizes.
+// benchFleets runs a benchmark for several fleet sizes.
 func benchFleets(b *testing.B, run func(b *testing.B, g *Gateway)) {
 	for _, endpoints := range []int{20, 900} {
 		for _, hosts := range []int{20, 200, 400} {
@@ -151,12 +152,12 @@
 func BenchmarkRetryBudget(b *testing.B) {
 	benchFleets(b, func(b *testing.B, g *Gateway) {
 		for b.Loop() {
-			g.budget("llm")
+			g.retryBudget("llm")
 		}
 	})
 }
 
-// fleetHeartbeat returns what a partner sends that has no news.
+// fleetHeartbeat returns a heartbeat without changes.
 func fleetHeartbeat() *peerv1.HeartbeatRequest {
 	h := fleetHost(1)
 	return &peerv1.HeartbeatRequest{Self: &peerv1.HostInfo{
@@ -168,13 +169,12 @@
 func BenchmarkHeartbeat(b *testing.B) {
 	benchFleets(b, func(b *testing.B, g *Gateway) {
 		for b.Loop() {
-			g.beats.Answer(fleetHeartbeat())
+			g.heartbeats.Answer(fleetHeartbeat())
 		}
 	})
 }
 
-// BenchmarkEndpointChanged measures what one endpoint that comes, drains or
-// goes costs a daemon.
+// BenchmarkEndpointChanged measures the cost of one changed endpoint.
 func BenchmarkEndpointChanged(b *testing.B) {
 	for _, endpoints := range []int{20, 900, 3000} {
 		b.Run(fmt.Sprintf("endpoints=%d", endpoints), func(b *testing.B) {
@@ -183,7 +183,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				position++
-				g.holder.Merge(facts.News{Position: position, AsOf: fleetMoment, Endpoints: []facts.Endpoint{{
+				g.holder.Merge(facts.News{Position: position, AsOf: fleetTime, Endpoints: []facts.Endpoint{{
 					ID: "i-000007", Pool: "llm", Address: "10.1.0.7:80", Zone: "z1", Slots: 12, Born: 1, Draining: position%2 == 0, Changed: position,
 				}}})
 			}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,6 +1,6 @@
-// Package gateway puts the parts of an entry daemon together whose operators
-// and endpoints keep what they have to say in the platform's store, and whose
-// callers' requests are passed on without being looked into.
+// Package gateway assembles the entry daemon for platforms on which operators
+// write the configuration and endpoints register themselves in the platform's
+// store. It forwards callers' requests without interpreting their bodies.
 package gateway
 
 import (
@@ -43,17 +43,18 @@
 	wire "github.com/beechhead/beechhead/platform"
 )
 
-// tickInterval is how often links and hosts are looked at. A coordinator that
-// is silent costs its requests about that much on top of the time after which
-// it is suspected.
+// tickInterval is how often links and hosts are checked. The failure of a
+// coordinator delays its requests by up to one interval in addition to the time
+// after which it is suspected.
 const tickInterval = 25 * time.Millisecond
 
 // Gateway is one entry daemon.
 type Gateway struct {
-	// current has the settings in force.
+	// current contains the current settings.
 	current atomic.Pointer[settings.Settings]
 	logger  *slog.Logger
-	// LogDropped returns how many lines of the log were lost; nil if none can.
+	// LogDropped returns the number of log lines that were dropped; nil if the
+	// log drops none.
 	LogDropped func() int64
 	clock      clockwork.Clock
 	boot       boottime.Clock
@@ -65,40 +66,41 @@
 	reader    *facts.Reader
 	sync      *factsync.Syncer
 	beacons   *beacon.Conn
-	// adopting orders the adoptions of new facts.
-	adopting sync.Mutex
+	// applyMu serializes calls of applyFacts.
+	applyMu sync.Mutex
 
 	view        *membership.View
 	suspects    *quarantine.List
 	peers       *peer.Pool
-	beats       *heartbeat.Exchanger
+	heartbeats  *heartbeat.Exchanger
 	cells       *cellhost.Host
 	coordinator *cell.Coordinator
 	placer      *placement.Placer
 	forwarder   *forward.Forwarder
 
-	listedMu sync.Mutex
-	// listed has the peer addresses that the store listed.
-	listed []string
-	// listedSelf says that the store lists this daemon.
-	listedSelf atomic.Bool
+	registeredMu sync.Mutex
+	// registeredPeers contains the peer addresses that were last read from the
+	// store.
+	registeredPeers []string
+	// selfRegistered is set while this daemon is registered in the store.
+	selfRegistered atomic.Bool
 
 	budgetMu sync.Mutex
 	budgets  map[table.Pool]*retrybudget.Budget
 
 	sampler    *logline.Sampler
 	inProgress atomic.Int64
-	// refusing is set when the graceful stop takes no more requests.
-	refusing atomic.Bool
-	callers  *http.Server
-	inner    *http.Server
-	answers  *peer.Server
-	// draining is closed when the graceful stop begins.
+	// refusing is set when the graceful shutdown accepts no more requests.
+	refusing   atomic.Bool
+	callerHTTP *http.Server
+	peerHTTP   *http.Server
+	peerServer *peer.Server
+	// draining is closed when the graceful shutdown begins.
 	draining  chan struct{}
 	drainOnce sync.Once
 }
 
-// New returns a daemon that is not running yet.
+// New returns a daemon; Run starts it.
 func New(s *settings.Settings, logger *slog.Logger) *Gateway {
 	g := &Gateway{
 		clock:    clockwork.NewRealClock(),
@@ -120,18 +122,18 @@
 		PeerAddress:   s.PeerAddress,
 		Capacity:      s.Gateway.Machine.Capacity(),
 	})
-	g.view.OnGone = g.hostGone
+	g.view.OnGone = g.onHostGone
 	g.view.Count = g.metrics.Inc
 	g.suspects = quarantine.NewList(g.clock)
 	g.suspects.OnChange = quarantine.ReportChanges(g.logger, g.metrics.Inc)
 	g.buildFacts()
 	g.buildPeers()
-	g.buildPlacing()
+	g.buildPlacement()
 	g.buildServers()
 	return g
 }
 
-func (g *Gateway) buildPlacing() {
+func (g *Gateway) buildPlacement() {
 	size := g.conf().CellSize
 	if size == 0 {
 		size = cell.DefaultSize
@@ -145,7 +147,7 @@
 		Coordinator: g.coordinator,
 		Metrics:     g.metrics,
 		Interval:    tickInterval,
-		RefreshView: g.beats.Refresh,
+		RefreshView: g.heartbeats.Refresh,
 	}
 	g.placer = placement.NewPlacer(g.clock, g.view, g.cells.Dial, g.metrics, size, g.conf().Policy)
 	g.placer.OnShareChange = g.coordinator.SetShare
@@ -169,24 +171,25 @@
 		Protocol:  wire.EngineWire(),
 		Reserve:   g.placer.Reserve,
 		Usable:    g.usable,
-		Budget:    g.budget,
+		Budget:    g.retryBudget,
 
 		Quarantine: g.suspects,
 	}
 }
 
-// callerIdle is how long callers may leave a connection idle. It exceeds what
-// operators allow them, so that a request never crosses a close of ours.
+// callerIdle is the idle timeout of callers' connections. It exceeds the
+// timeout that operators prescribe for callers, so that the daemon does not
+// close a connection on which a caller is just sending a request.
 const callerIdle = 2 * time.Minute
 
-// Limits of the callers' server.
+// Limits of the server for callers.
 const (
 	readHeaderTimeout = 10 * time.Second
 	maxHeaderRead     = 64 << 10
 )
 
 func (g *Gateway) buildServers() {
-	g.callers = &http.Server{
+	g.callerHTTP = &http.Server{
 		Handler:           http.HandlerFunc(g.serveCaller),
 		ReadHeaderTimeout: readHeaderTimeout,
 		IdleTimeout:       callerIdle,
@@ -194,21 +197,22 @@
 		ConnContext:       withConn,
 		ErrorLog:          slog.NewLogLogger(g.logger.Handler(), slog.LevelDebug),
 	}
-	g.answers = g.peerServer()
-	g.inner = peer.NewHTTPServer(g.answers.Handler(), nil)
-	g.inner.ErrorLog = slog.NewLogLogger(g.logger.Handler(), slog.LevelDebug)
+	g.peerServer = g.newPeerServer()
+	g.peerHTTP = peer.NewHTTPServer(g.peerServer.Handler(), nil)
+	g.peerHTTP.ErrorLog = slog.NewLogLogger(g.logger.Handler(), slog.LevelDebug)
 }
 
-// hostGone forgets what an incarnation that is gone held.
-func (g *Gateway) hostGone(h membership.Host) {
+// onHostGone releases the state held for an incarnation of a host that is gone.
+func (g *Gateway) onHostGone(h membership.Host) {
 	g.logger.Warn("host gone", "gone", h.ID)
 	g.metrics.Inc("hosts.gone")
 	g.peers.Replace(h.PeerAddress)
-	g.answers.DropStreams(string(h.ID), h.Incarnation)
+	g.peerServer.DropStreams(string(h.ID), h.Incarnation)
 	g.coordinator.DropHost(string(h.ID), h.Incarnation)
 }
 
-// Run serves until ctx ends or a graceful stop is complete.
+// Run runs the daemon until ctx is cancelled or a graceful shutdown is
+// complete.
 func (g *Gateway) Run(ctx context.Context) (err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -227,39 +231,39 @@
 	g.logger.Info("started", "incarnation", g.view.Self().Incarnation)
 	grp.Go(func() error { g.beacons.Receive(ctx, g.sync.OnBeacon); return nil })
 	grp.Go(func() error { g.reader.Run(ctx); return nil })
-	grp.Go(func() error { g.beats.Run(ctx); return nil })
+	grp.Go(func() error { g.heartbeats.Run(ctx); return nil })
 	grp.Go(func() error { g.tick(ctx); return nil })
 	grp.Go(func() error { g.sync.Run(ctx); return nil })
 	grp.Go(func() error { g.register(ctx); return nil })
-	grp.Go(func() error { g.logFigures(ctx); return nil })
+	grp.Go(func() error { g.logMetrics(ctx); return nil })
 	grp.Go(func() error {
 		defer cancel()
-		return g.leave(ctx)
+		return g.shutDown(ctx)
 	})
 	return grp.Wait()
 }
 
-// listen opens the daemon's addresses and serves them.
+// listen opens the daemon's listeners and starts their servers.
 func (g *Gateway) listen(ctx context.Context, grp *errgroup.Group) error {
-	asked := g.interfaces()
-	for _, one := range []struct {
+	directory := g.directoryHandler()
+	for _, s := range []struct {
 		server  *http.Server
 		address string
 	}{
-		{g.callers, g.conf().CallerAddress},
-		{g.inner, g.conf().PeerAddress},
-		{&http.Server{Handler: asked, ReadHeaderTimeout: readHeaderTimeout}, g.conf().Gateway.ReadyAddress},
-		{&http.Server{Handler: asked, ReadHeaderTimeout: readHeaderTimeout}, g.conf().Gateway.DirectoryAddress},
-		{&http.Server{Handler: g.figures(), ReadHeaderTimeout: readHeaderTimeout}, g.conf().OperatorAddress},
+		{g.callerHTTP, g.conf().CallerAddress},
+		{g.peerHTTP, g.conf().PeerAddress},
+		{&http.Server{Handler: directory, ReadHeaderTimeout: readHeaderTimeout}, g.conf().Gateway.ReadyAddress},
+		{&http.Server{Handler: directory, ReadHeaderTimeout: readHeaderTimeout}, g.conf().Gateway.DirectoryAddress},
+		{&http.Server{Handler: g.metricsHandler(), ReadHeaderTimeout: readHeaderTimeout}, g.conf().OperatorAddress},
 	} {
-		l, err := net.Listen("tcp", one.address)
+		l, err := net.Listen("tcp", s.address)
 		if err != nil {
-			return errors.Wrapf(err, "listen on %s", one.address)
+			return errors.Wrapf(err, "listen on %s", s.address)
 		}
-		if one.server == g.callers {
+		if s.server == g.callerHTTP {
 			l = framing.Listener{Listener: l}
 		}
-		grp.Go(func() error { return serve(ctx, one.server, l) })
+		grp.Go(func() error { return serve(ctx, s.server, l) })
 	}
 	return nil
 }
@@ -274,7 +278,7 @@
 	return errors.Wrap(err, "serve")
 }
 
-// tick drives what depends on time only.
+// tick runs the periodic work until ctx is cancelled.
 func (g *Gateway) tick(ctx context.Context) {
 	ticker := g.clock.NewTicker(tickInterval)
 	defer ticker.Stop()
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -12,12 +12,13 @@
 	"github.com/beechhead/beechhead/platform/standin"
 )
 
-// TestWholePath sends a request of each kind through each of three daemons.
-func TestWholePath(t *testing.T) {
+// TestEndToEnd sends a stream and an unsafe request through each of three
+// daemons.
+func TestEndToEnd(t *testing.T) {
 	s := newTestSite(t, 3)
 	for _, d := range s.daemons {
 		a := s.chat(d, "chat")
-		if a.status != http.StatusOK || a.body != wholeStream(a.id, 5) {
+		if a.status != http.StatusOK || a.body != fullStream(a.id, 5) {
 			t.Errorf("stream: %d %q %v", a.status, a.body, a.err)
 		}
 		runs := s.runs(a.id)
@@ -37,8 +38,8 @@
 	}
 }
 
-// TestRefusals: each mistake of a caller has a clear answer, and none of them
-// reaches an endpoint.
+// Invalid requests get the matching status and do not reach an endpoint, and
+// headers that are reserved for the product are not forwarded.
 func TestRefusals(t *testing.T) {
 	s := newTestSite(t, 1)
 	d := s.daemons[0]
@@ -50,7 +51,7 @@
 		status int
 	}{
 		{"unknown path", "/none/x", nil, "", 404},
-		{"a path that only begins like a prefix", "/pay", nil, "", 404},
+		{"the prefix without its final slash", "/pay", nil, "", 404},
 		{"unknown key", "/pay/x", map[string]string{platform.HeaderKey: "other"}, "", 401},
 		{"no key", "/pay/x", map[string]string{platform.HeaderKey: ""}, "", 401},
 		{"no id", "/pay/x", map[string]string{platform.HeaderRequestID: ""}, "", 400},
@@ -63,26 +64,26 @@
 	}
 	a := s.call(d, http.MethodPost, "/pay/x", map[string]string{platform.HeaderAccount: "somebody", platform.HeaderFetch: "10.0.0.1:1"}, "")
 	if runs := s.runs(a.id); len(runs) != 1 || runs[0].Account != "acme" || runs[0].FetchFrom != "" {
-		t.Errorf("a caller that sets the system's headers: %+v", runs)
+		t.Errorf("reserved headers set by the caller: %+v", runs)
 	}
 }
 
-// A caller hides a second request behind one whose lengths conflict. Neither
-// may reach an endpoint.
-func TestSmuggledRequestsRunNowhere(t *testing.T) {
+// Guards against request smuggling: a caller hides a second request in one
+// whose length headers conflict. Neither may reach an endpoint.
+func TestSmuggledRequestsAreNotForwarded(t *testing.T) {
 	s := newTestSite(t, 1)
 	head := func(id string) string {
 		return "POST /pay/x HTTP/1.1\r\nHost: h.example\r\nApi-Key: key-1\r\nBeechhead-Request-Id: " + id + "\r\n"
 	}
 	hidden := head("hidden") + "Content-Length: 0\r\n\r\n"
 	for name, stream := range map[string]string{
-		"length and chunks": head("outer") + fmt.Sprintf("Content-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 5+len(hidden)) + hidden,
-		"two lengths":       head("outer") + fmt.Sprintf("Content-Length: 0\r\nContent-Length: %d\r\n\r\n", len(hidden)) + hidden,
-		"an odd encoding":   head("outer") + "Transfer-Encoding: xchunked\r\n\r\n" + hidden,
+		"length and chunked encoding": head("outer") + fmt.Sprintf("Content-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 5+len(hidden)) + hidden,
+		"two lengths":                 head("outer") + fmt.Sprintf("Content-Length: 0\r\nContent-Length: %d\r\n\r\n", len(hidden)) + hidden,
+		"unknown encoding":            head("outer") + "Transfer-Encoding: xchunked\r\n\r\n" + hidden,
 	} {
-		answer := s.raw(s.daemons[0], stream)
-		if !strings.HasPrefix(answer, "HTTP/1.1 4") && !strings.HasPrefix(answer, "HTTP/1.1 501") {
-			t.Errorf("%s: answered %.40q", name, answer)
+		got := s.raw(s.daemons[0], stream)
+		if !strings.HasPrefix(got, "HTTP/1.1 4") && !strings.HasPrefix(got, "HTTP/1.1 501") {
+			t.Errorf("%s: response %.40q", name, got)
 		}
 		if n := len(s.runs("outer")) + len(s.runs("hidden")); n > 0 {
 			t.Errorf("%s: %d runs", name, n)
@@ -90,8 +91,9 @@
 	}
 }
 
-// An endpoint runs an unsafe request and its connection is reset. The caller
-// is told that nothing is known, and the request is run by no other.
+// Guards against a second execution of an unsafe request after an endpoint has
+// run it and failed, for example by a connection reset. The status must not
+// claim that the request was or was not executed.
 func TestUnsafeRunsOnce(t *testing.T) {
 	s := newTestSite(t, 1)
 	for name, f := range map[string]standin.EngineFaults{
@@ -103,7 +105,7 @@
 		s.setFaults(f)
 		a := s.call(s.daemons[0], http.MethodPost, "/pay/x", nil, "money")
 		if a.status == http.StatusServiceUnavailable || a.status/100 == 2 || a.status/100 == 4 {
-			t.Errorf("%s: status %d promises or claims too much", name, a.status)
+			t.Errorf("%s: status %d, although the outcome is unknown", name, a.status)
 		}
 		if runs := s.runs(a.id); len(runs) != 1 {
 			t.Errorf("%s: %d runs", name, len(runs))
@@ -111,8 +113,8 @@
 	}
 }
 
-// Every endpoint refuses. The caller is told that the request was not run and
-// when to come back.
+// If every endpoint refuses, the status guarantees that the request was not
+// executed, and there is a Retry-After header.
 func TestRefusedEverywhereIsNotRun(t *testing.T) {
 	s := newTestSite(t, 1)
 	s.setFaults(standin.EngineFaults{Refuse: true})
@@ -125,10 +127,11 @@
 	}
 }
 
-// An engine crashes within the third event. A resumable stream goes on at the
-// other engine, and the caller gets every event once; another one ends so that
-// it does not look complete.
-func TestBrokenStreams(t *testing.T) {
+// An engine crashes in the middle of the third event. A resumable stream is
+// continued at the other engine, and the caller receives every event once. A
+// stream that is not resumable must end with an error, so that it does not look
+// complete.
+func TestTruncatedStreams(t *testing.T) {
 	s := newTestSite(t, 1)
 	s.engines["llm-1"].SetFaults(standin.EngineFaults{CutAfter: 2})
 	s.engines["llm-2"].SetFaults(standin.EngineFaults{CutAfter: 2})
@@ -137,15 +140,16 @@
 	for range 4 {
 		if a := s.chat(d, "draft"); a.err != nil {
 			broken++
-			if a.body != wholeStream(a.id, 2) {
+			if a.body != fullStream(a.id, 2) {
 				t.Errorf("the caller got %q", a.body)
 			}
 		}
 	}
 	if broken != 4 {
-		t.Errorf("%d of 4 streams that can't go on looked broken", broken)
+		t.Errorf("%d of 4 streams that are not resumable ended with an error", broken)
 	}
-	// The engine that has read the common parts before is chosen again.
+	// Prefix affinity selects the engine again that has the common prompt parts
+	// in its cache.
 	first, second := s.engines["llm-1"], s.engines["llm-2"]
 	if len(second.Runs()) > len(first.Runs()) {
 		first, second = second, first
@@ -155,7 +159,7 @@
 	resumed := 0
 	for range 8 {
 		a := s.chat(d, "chat")
-		if a.err != nil || a.body != wholeStream(a.id, 5) {
+		if a.err != nil || a.body != fullStream(a.id, 5) {
 			t.Errorf("the caller got %q, %v", a.body, a.err)
 		}
 		if runs := s.runs(a.id); len(runs) == 2 {
@@ -167,9 +171,10 @@
 	}
 }
 
-// An endpoint answers twice on a kept connection; the second answer must reach
-// nobody. One without a length ends with its connection.
-func TestOddAnswers(t *testing.T) {
+// Guards against forwarding the second of two responses that an endpoint sends
+// to one request on a keep-alive connection. A response without a length ends
+// when its connection is closed.
+func TestIrregularResponses(t *testing.T) {
 	s := newTestSite(t, 1)
 	for _, f := range []standin.EngineFaults{{Twice: true}, {Unframed: true}} {
 		s.setFaults(f)
@@ -182,10 +187,10 @@
 	}
 }
 
-// An engine takes requests and never answers. What may be repeated goes on at
-// another one; the rest ends at the caller's deadline, with a status that
-// promises nothing, since it may have run.
-func TestEngineThatDoesNotAnswer(t *testing.T) {
+// Engines accept requests but never respond. Safe requests and resumable
+// streams are retried at another engine. The others end at the caller's
+// deadline, with a status that leaves open whether they were executed.
+func TestUnresponsiveEngine(t *testing.T) {
 	s := newTestSite(t, 1)
 	d := s.daemons[0]
 	s.setFaults(standin.EngineFaults{Hang: true})
@@ -203,14 +208,14 @@
 		if a := s.call(d, http.MethodGet, "/look/x", nil, ""); a.status != http.StatusOK {
 			t.Errorf("a safe request: status %d, %v", a.status, a.err)
 		}
-		if a := s.chat(d, "chat"); a.status != http.StatusOK || a.body != wholeStream(a.id, 5) {
-			t.Errorf("a stream that may go on elsewhere: status %d, %q, %v", a.status, a.body, a.err)
+		if a := s.chat(d, "chat"); a.status != http.StatusOK || a.body != fullStream(a.id, 5) {
+			t.Errorf("a resumable stream: status %d, %q, %v", a.status, a.body, a.err)
 		}
 	}
 }
 
-// An operator takes a key away and adds a route. Both are in force on every
-// daemon soon, whichever of them reads the store.
+// After an operator revokes an API key and adds a route, both changes take
+// effect on every daemon, whether or not it reads the store itself.
 func TestConfigReachesEveryDaemon(t *testing.T) {
 	s := newTestSite(t, 3)
 	s.config.Version = 9
@@ -220,7 +225,7 @@
 	for _, d := range s.daemons {
 		s.await("version 9", func() bool { return d.g.holder.Summary().Config == 9 })
 		if a := s.call(d, http.MethodPost, "/pay/x", nil, "money"); a.status != http.StatusUnauthorized || len(s.runs(a.id)) > 0 {
-			t.Errorf("the key that was taken away: status %d", a.status)
+			t.Errorf("the revoked key: status %d", a.status)
 		}
 		if a := s.call(d, http.MethodGet, "/new/x", nil, ""); a.status != http.StatusOK {
 			t.Errorf("the new route: status %d", a.status)
@@ -228,9 +233,9 @@
 	}
 }
 
-// The store turns the readers away and serves the others. Another daemon reads
-// in their place, and a change still reaches everyone.
-func TestReadersThatAreTurnedAwayAreReplaced(t *testing.T) {
+// The store refuses the daemons that read it and serves the others. Other
+// daemons must take over reading, so that a change still reaches all daemons.
+func TestRefusedReadersAreReplaced(t *testing.T) {
 	s := newTestSite(t, 4)
 	var refused []string
 	for _, d := range s.daemons {
@@ -239,12 +244,12 @@
 		}
 	}
 	if len(refused) != 2 {
-		t.Fatalf("%d daemons read", len(refused))
+		t.Fatalf("%d daemons read the store, want 2", len(refused))
 	}
 	s.store.SetFaults(standin.StoreFaults{Refused: refused})
 	for _, d := range s.daemons {
 		if slices.Contains(refused, d.ip) {
-			s.await("the reader turned away", func() bool { return d.g.metrics.Count("facts.readFailed") > 2 })
+			s.await("the reader is refused", func() bool { return d.g.metrics.Count("facts.readFailed") > 2 })
 		}
 	}
 	s.config.Version = 11
@@ -254,8 +259,8 @@
 	}
 }
 
-// A daemon is started while the store is down. It takes configuration and
-// endpoints from the others, with their age, and serves.
+// A daemon that starts while the store is down gets the configuration and the
+// endpoints, with their age, from other daemons and serves requests.
 func TestStartDuringAnOutage(t *testing.T) {
 	s := newTestSite(t, 2)
 	s.store.SetFaults(standin.StoreFaults{Down: true})
@@ -264,10 +269,11 @@
 	s.await("an answer", func() bool { return s.call(d, http.MethodGet, "/open/x", nil, "").status == http.StatusOK })
 }
 
-// A daemon hears neither the store nor any other daemon. It must stop using
-// keys before one that was taken away meanwhile could still open anything, and
-// says that nothing was run. Public routes go on.
-func TestKeysEndWithoutFreshKnowledge(t *testing.T) {
+// Guards against the use of a revoked API key by a daemon that can reach
+// neither the store nor another daemon. It must refuse requests with keys
+// before its configuration exceeds the age limit, with a status that guarantees
+// that they were not executed. Public routes are still served.
+func TestKeysAreNotAcceptedWithStaleConfiguration(t *testing.T) {
 	s := newTestSite(t, 1)
 	d := s.daemons[0]
 	s.store.SetFaults(standin.StoreFaults{Silent: true})
@@ -279,8 +285,8 @@
 		}
 		return status == http.StatusServiceUnavailable
 	})
-	if d.g.takesCallers() {
-		t.Error("the daemon still says that it takes callers")
+	if d.g.acceptsCallers() {
+		t.Error("the daemon still reports that it is ready")
 	}
 	if a := s.call(d, http.MethodGet, "/open/x", nil, ""); a.status != http.StatusOK {
 		t.Errorf("a public route: status %d", a.status)
@@ -289,7 +295,8 @@
 	s.await("an answer", func() bool { return s.call(d, http.MethodPost, "/pay/x", nil, "").status == http.StatusOK })
 }
 
-// History is dropped between two reads. The readers read the whole again.
+// The store's history is dropped between two reads. The readers must then read
+// the complete tables again.
 func TestDroppedHistory(t *testing.T) {
 	s := newTestSite(t, 2)
 	s.store.DropHistory()
@@ -301,9 +308,9 @@
 	}
 }
 
-// An engine says that it is leaving. It gets no new requests, and the others
-// take them.
-func TestDrainingEngineGetsNothing(t *testing.T) {
+// An engine that registers as draining gets no new requests; the other engines
+// serve them.
+func TestDrainingEngineGetsNoRequests(t *testing.T) {
 	s := newTestSite(t, 2)
 	e := s.engines["llm-1"]
 	s.store.Put(platform.TableEngines, "llm-1", standin.EntryOf(e.pool, e.address, true))
@@ -319,17 +326,17 @@
 		}
 	}
 	if after := len(e.Runs()); after != before {
-		t.Errorf("the leaving engine ran %d requests", after-before)
+		t.Errorf("the draining engine ran %d requests", after-before)
 	}
 }
 
-// Another engine has taken an address over. It refuses what is meant for the
-// one before, and the request goes elsewhere.
-func TestAddressUsedAgain(t *testing.T) {
+// Another engine now uses the address of a registered one. It refuses requests
+// for the registered engine, and they are sent to another engine.
+func TestReusedAddress(t *testing.T) {
 	s := newTestSite(t, 1)
 	s.engines["llm-1"].ID = "somebody-else"
 	for range 4 {
-		if a := s.chat(s.daemons[0], "chat"); a.status != http.StatusOK || a.body != wholeStream(a.id, 5) {
+		if a := s.chat(s.daemons[0], "chat"); a.status != http.StatusOK || a.body != fullStream(a.id, 5) {
 			t.Errorf("%d %q %v", a.status, a.body, a.err)
 		}
 	}
@@ -338,25 +345,25 @@
 	}
 }
 
-// A daemon is stopped while it passes a stream on. It leaves the answers of
-// addresses at once, takes requests for a while longer, and ends only when the
-// stream has ended.
-func TestGracefulStop(t *testing.T) {
+// A daemon is stopped gracefully while it forwards a stream. Its address must
+// no longer be returned to callers, it must accept requests for a while longer,
+// and it must terminate only after the stream has ended.
+func TestGracefulShutdown(t *testing.T) {
 	s := newTestSite(t, 2)
 	for _, e := range s.engines {
 		e.Events, e.Pause = 30, 100*time.Millisecond
 	}
 	d := s.daemons[0]
-	result := make(chan answer)
+	result := make(chan response)
 	go func() { result <- s.chat(d, "draft") }()
 	s.await("the stream", func() bool { return d.g.inProgress.Load() == 1 })
 	d.g.Drain()
-	s.await("not ready", func() bool { return !d.g.takesCallers() })
-	s.await("off the addresses", func() bool { return len(s.resolve(s.daemons[1])) == 1 })
+	s.await("not ready", func() bool { return !d.g.acceptsCallers() })
+	s.await("the address is no longer returned", func() bool { return len(s.resolve(s.daemons[1])) == 1 })
 	if a := s.call(d, http.MethodPost, "/pay/x", nil, ""); a.status != http.StatusOK {
-		t.Errorf("a caller with an older answer: status %d", a.status)
+		t.Errorf("a caller with a cached address: status %d", a.status)
 	}
-	if a := <-result; a.err != nil || a.body != wholeStream(a.id, 30) {
+	if a := <-result; a.err != nil || a.body != fullStream(a.id, 30) {
 		t.Errorf("the stream: %d bytes, %v", len(a.body), a.err)
 	}
 	<-d.done
--- a/internal/gateway/limit_test.go
+++ b/internal/gateway/limit_test.go
@@ -12,14 +12,15 @@
 )
 
 const (
-	// limitWindow is the span in which an engine gets at most limitSlack more
-	// than limitExcess times what its limit allows.
+	// In any limitWindow, an engine may get at most limitExcess times the
+	// number of requests that its limit allows, plus limitSlack.
 	limitWindow = 4 * time.Second
 	limitExcess = 1.5
 	limitSlack  = 5
 )
 
-// mostInWindow returns the greatest number of runs that began within a window.
+// mostInWindow returns the greatest number of runs that began within
+// limitWindow.
 func mostInWindow(runs []standin.Run) (most int) {
 	slices.SortFunc(runs, func(a, b standin.Run) int { return a.Began.Compare(b.Began) })
 	from := 0
@@ -32,16 +33,16 @@
 	return most
 }
 
-// chatAlone sends a request for a stream whose parts no other has.
-func (s *testSite) chatAlone(d *testDaemon, n int) answer {
+// chatAlone sends a stream request whose prompt parts no other request has.
+func (s *testSite) chatAlone(d *testDaemon, n int) response {
 	return s.call(d, http.MethodPost, "/chat/x", map[string]string{
 		platform.HeaderTokens: "1200,30", platform.HeaderParts: fmt.Sprintf("%x:800,%x:100", 0x1000+n, 0x9000+n),
 	}, fmt.Sprint("prompt ", n))
 }
 
-// Guards against daemons that together send an engine more than the limit that
-// it names, and against leaving it out once it names none any more.
-func TestEngineThatNamesALimit(t *testing.T) {
+// Guards against daemons that together exceed the rate limit that an engine
+// announces, and against still limiting the engine after it announces none.
+func TestEngineRateLimit(t *testing.T) {
 	const limit = 1
 	s := newTestSite(t, 3)
 	n := 0
@@ -71,13 +72,13 @@
 	allowed := int(limitExcess*limit*limitWindow.Seconds()) + limitSlack
 	for _, e := range limited {
 		if got := mostInWindow(e.Runs()[before[e]:]); got > allowed {
-			t.Errorf("%s: %d requests in %v, at most %d may be sent", e.ID, got, limitWindow, allowed)
+			t.Errorf("%s: %d requests in %v, want at most %d", e.ID, got, limitWindow, allowed)
 		}
 		e.SetFaults(standin.EngineFaults{})
 		before[e] = len(e.Runs())
 	}
 	for _, e := range limited {
-		s.await("the limit is over", func() bool {
+		s.await("the limit is lifted", func() bool {
 			send(2)
 			return len(e.Runs())-before[e] > allowed
 		})
--- a/internal/gateway/figures.go
+++ b/internal/gateway/metrics.go
@@ -10,18 +10,19 @@
 	"github.com/beechhead/beechhead/internal/cell"
 )
 
-// figuresInterval is the time between two lines with the counters.
-const figuresInterval = 10 * time.Second
+// metricsLogInterval is the interval at which the counters are logged.
+const metricsLogInterval = 10 * time.Second
 
-// logFigures logs the counters that have changed since the last time, so that
-// logs alone show how much happened between two lines of single decisions.
-func (g *Gateway) logFigures(ctx context.Context) {
+// logMetrics periodically logs the counters that have changed since the last
+// time, so that the log alone shows how much happened between the lines about
+// single requests.
+func (g *Gateway) logMetrics(ctx context.Context) {
 	last := map[string]int64{}
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-g.clock.After(figuresInterval):
+		case <-g.clock.After(metricsLogInterval):
 		}
 		g.updateGauges()
 		now := g.metrics.Counters()
@@ -36,7 +37,7 @@
 	}
 }
 
-// updateGauges sets what the daemon believes at the moment.
+// updateGauges sets the gauges to the daemon's current state.
 func (g *Gateway) updateGauges() {
 	s := g.holder.Summary()
 	g.metrics.Set("config.version", int64(s.Config))
@@ -58,7 +59,7 @@
 	}
 }
 
-// limitedEndpoints returns how many endpoints of some cells are held to a limit.
+// limitedEndpoints returns how many endpoints of the cells have a rate limit.
 func limitedEndpoints(cells []cell.StatusEntry) (n int64) {
 	for _, one := range cells {
 		for _, e := range one.Endpoints {
@@ -70,7 +71,8 @@
 	return n
 }
 
-// configAgeMs returns the configuration's greatest age; -1 is unknown.
+// configAgeMs returns the greatest possible age of the configuration; -1 means
+// unknown.
 func (g *Gateway) configAgeMs() int64 {
 	age, ok := g.holder.ConfigAge()
 	if !ok {
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -18,21 +18,22 @@
 )
 
 const (
-	// registerTimeout bounds a call to the store about the list of daemons, and
-	// registerPause is the time between two looks at what is to be listed.
-	registerTimeout = time.Second
-	registerPause   = 2 * time.Second
-	// registerKey ranks the hosts for the list.
+	// registerTimeout is the timeout for reading or writing the list of daemons
+	// in the store. registerInterval is the interval between two checks of
+	// whether this daemon must be added to it.
+	registerTimeout  = time.Second
+	registerInterval = 2 * time.Second
+	// registerKey seeds the order of hosts that selects those to register.
 	registerKey = "listed"
-	// registered is how many hosts the list has that live. A newcomer needs one
-	// of them, when the hosts are gone that its settings name.
-	registered = 16
+	// registeredHosts is the number of live hosts in the list. A new daemon
+	// needs one of them if all hosts in its settings are gone.
+	registeredHosts = 16
 )
 
-// buildPeers prepares the calls to other daemons.
+// buildPeers creates the peer connections and the heartbeats.
 func (g *Gateway) buildPeers() {
 	g.peers = peer.NewPool(nil, func(*http.Transport) {})
-	g.beats = &heartbeat.Exchanger{
+	g.heartbeats = &heartbeat.Exchanger{
 		Clock: g.clock,
 		View:  g.view,
 		Call: func(ctx context.Context, address string, req *peerv1.HeartbeatRequest) (*peerv1.HeartbeatResponse, error) {
@@ -49,57 +50,59 @@
 	}
 }
 
-func (g *Gateway) peerServer() *peer.Server {
+func (g *Gateway) newPeerServer() *peer.Server {
 	return &peer.Server{
 		Welcome: func() *peerv1.Welcome {
 			self := g.view.Self()
 			return &peerv1.Welcome{Host: string(self.ID), Incarnation: self.Incarnation}
 		},
 		Attach:      g.cells.Attach,
-		OnHeartbeat: g.beats.Answer,
+		OnHeartbeat: g.heartbeats.Answer,
 		OnFacts:     g.sync.Answer,
 	}
 }
 
-// seeds returns the peer addresses that the settings and the store name.
+// seeds returns the peer addresses from the settings and from the store.
 func (g *Gateway) seeds() []string {
-	g.listedMu.Lock()
-	defer g.listedMu.Unlock()
-	return append(g.listed[:len(g.listed):len(g.listed)], g.conf().Peers...)
+	g.registeredMu.Lock()
+	defer g.registeredMu.Unlock()
+	return append(g.registeredPeers[:len(g.registeredPeers):len(g.registeredPeers)], g.conf().Peers...)
 }
 
-// expectsHosts tells whether the settings name another host.
+// expectsHosts reports whether the settings contain the address of another
+// host.
 func (g *Gateway) expectsHosts() bool {
 	self := g.view.Self().PeerAddress
 	return slices.ContainsFunc(g.conf().Peers, func(address string) bool { return address != self })
 }
 
-// register lists this daemon in the store if it is one of those that stand for
-// all, so that a newcomer finds it when the hosts are gone that the newcomer's
-// settings name; and reads the list while this daemon itself knows no other.
+// register keeps this daemon registered in the store if it is one of the hosts
+// selected for that, so that a new daemon can join even if all hosts in its
+// settings are gone. While this daemon knows no other host, it also reads the
+// list.
 func (g *Gateway) register(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 			return
-		case <-g.clock.After(registerPause):
+		case <-g.clock.After(registerInterval):
 		}
-		if !g.leaving() && !g.listedSelf.Load() && g.standsForAll() {
-			g.listedSelf.Store(g.writeSelf(ctx))
+		if !g.leaving() && !g.selfRegistered.Load() && g.shouldRegister() {
+			g.selfRegistered.Store(g.registerSelf(ctx))
 		}
 		if g.view.Hosts().Len() < 2 {
-			g.readListed(ctx)
+			g.readRegistered(ctx)
 		}
 	}
 }
 
-// standsForAll tells whether this host is one of those to be listed.
-func (g *Gateway) standsForAll() bool {
+// shouldRegister reports whether this host is one of those to be registered.
+func (g *Gateway) shouldRegister() bool {
 	position, ok := g.view.Hosts().Order(registerKey).Position(g.view.Self().ID)
-	return ok && position < registered
+	return ok && position < registeredHosts
 }
 
-func (g *Gateway) writeSelf(ctx context.Context) bool {
+func (g *Gateway) registerSelf(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, registerTimeout)
 	defer cancel()
 	self := g.view.Self()
@@ -110,7 +113,7 @@
 	return true
 }
 
-func (g *Gateway) readListed(ctx context.Context) {
+func (g *Gateway) readRegistered(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, registerTimeout)
 	defer cancel()
 	rows, err := g.store.Snapshot(ctx, wire.TableHosts)
@@ -118,43 +121,44 @@
 		g.logger.Warn("list of daemons not read", "error", err)
 		return
 	}
-	g.listedMu.Lock()
-	defer g.listedMu.Unlock()
-	g.listed = g.listed[:0]
+	g.registeredMu.Lock()
+	defer g.registeredMu.Unlock()
+	g.registeredPeers = g.registeredPeers[:0]
 	for _, row := range rows.Rows {
 		if address := string(row.Value); address != g.conf().PeerAddress {
-			g.listed = append(g.listed, address)
+			g.registeredPeers = append(g.registeredPeers, address)
 		}
 	}
 }
 
-// budgetPart is the part of the site's budget for repeats that the daemons
-// share out among each other: in each window, a daemon may use what it has
-// saved up of its requests' shares, its spare, and the spare's refill. Half of
-// the whole is left for what restarts begin anew.
+// budgetShareFraction and budgetSlackFraction are the fractions of the site's
+// retry budget that are divided among the daemons. In each window, a daemon may
+// use what it has earned by its requests, its reserve, and the refill of the
+// reserve. Half of the site's budget is left for daemons that restart, since
+// these begin with a new budget.
 const (
-	budgetPart      = 0.45
-	budgetSlackPart = 0.2
+	budgetShareFraction = 0.45
+	budgetSlackFraction = 0.2
 )
 
-// budget returns what this daemon may still send beyond the first time to a
-// pool.
-func (g *Gateway) budget(pool table.Pool) forward.Budget {
+// retryBudget returns this daemon's retry budget for a pool, adapted to the
+// current settings and number of hosts.
+func (g *Gateway) retryBudget(pool table.Pool) forward.Budget {
 	g.budgetMu.Lock()
 	defer g.budgetMu.Unlock()
 	retry := g.conf().Gateway.Retry
-	slack := budgetSlackPart * retry.Slack / float64(max(1, g.view.Hosts().Len()))
-	terms := retrybudget.Config{
-		RetryRatio:      budgetPart * retry.Share,
+	slack := budgetSlackFraction * retry.Slack / float64(max(1, g.view.Hosts().Len()))
+	config := retrybudget.Config{
+		RetryRatio:      budgetShareFraction * retry.Share,
 		MaxEarned:       max(1, slack),
 		Reserve:         max(1, slack),
 		RefillPerSecond: slack / retry.Window.Std().Seconds(),
 	}
 	b := g.budgets[pool]
 	if b == nil {
-		b = retrybudget.New(g.clock, terms)
+		b = retrybudget.New(g.clock, config)
 		g.budgets[pool] = b
 	}
-	b.SetConfig(terms)
+	b.SetConfig(config)
 	return b
 }
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -11,22 +11,25 @@
 )
 
 const (
-	// endingBody is that of requests that end each engine that runs them.
-	endingBody = "the engine ends"
-	// newsBound is within what all daemons must act on what one has learnt.
-	newsBound = 3 * time.Second
-	// sendsAfterwards is how often a request may still be sent after that.
-	sendsAfterwards = 3
+	// terminatingBody is the body of requests that terminate every engine that
+	// runs them.
+	terminatingBody = "terminate the engine"
+	// propagationBound is the time within which all daemons must act on a
+	// report by one of them.
+	propagationBound = 3 * time.Second
+	// sendsAfterQuarantine is how often a request may still be sent to an
+	// engine after that.
+	sendsAfterQuarantine = 3
 )
 
-// endEngine sends a request that ends the engine that runs it.
-func (s *testSite) endEngine(d *testDaemon) answer {
+// terminateEngine sends a request that terminates the engine that runs it.
+func (s *testSite) terminateEngine(d *testDaemon) response {
 	return s.call(d, http.MethodPost, "/draft/x", map[string]string{
 		platform.HeaderTokens: "1200,30", platform.HeaderParts: "aa:800",
-	}, endingBody)
+	}, terminatingBody)
 }
 
-// runsOf returns how often a body was run.
+// runsOf returns how often requests with a body were run.
 func (s *testSite) runsOf(body string) int {
 	n := 0
 	for _, e := range s.engines {
@@ -39,10 +42,10 @@
 	return n
 }
 
-// awaitQuarantine waits until all daemons keep a request back, or for as long
-// as they may take.
+// awaitQuarantine waits until all daemons have quarantined a request, but at
+// most for the time that they may take.
 func (s *testSite) awaitQuarantine() {
-	for end := time.Now().Add(newsBound); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(propagationBound); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		know := 0
 		for _, d := range s.daemons {
 			know += int(d.g.metrics.Counters()["quarantine.begun"])
@@ -53,36 +56,36 @@
 	}
 }
 
-// Guards against a request that ends engines being sent on by daemons that
-// have not seen it before.
-func TestRequestThatEndsEnginesIsSentOnNowhere(t *testing.T) {
+// Guards against a request that terminates engines being forwarded by daemons
+// that have not received it before.
+func TestRequestThatTerminatesEnginesIsQuarantined(t *testing.T) {
 	s := newTestSite(t, 3)
 	for i := range 10 {
 		s.addEngine(fmt.Sprintf("llm-%d", 3+i), "llm")
 	}
-	s.setFaults(standin.EngineFaults{EndsOn: endingBody})
+	s.setFaults(standin.EngineFaults{EndsOn: terminatingBody})
 	for _, d := range s.daemons {
 		s.await("all engines known", func() bool { return len(d.g.holder.Endpoints()) == len(s.engines) })
 	}
 	for _, d := range s.daemons {
-		s.endEngine(d)
+		s.terminateEngine(d)
 	}
-	before := s.runsOf(endingBody)
+	before := s.runsOf(terminatingBody)
 	if before != len(s.daemons) {
-		t.Fatalf("%d engines ended, want %d", before, len(s.daemons))
+		t.Fatalf("%d engines terminated, want %d", before, len(s.daemons))
 	}
 	s.awaitQuarantine()
-	var last answer
-	for range sendsAfterwards {
+	var last response
+	for range sendsAfterQuarantine {
 		for _, d := range s.daemons {
-			last = s.endEngine(d)
+			last = s.terminateEngine(d)
 		}
 	}
-	if n := s.runsOf(endingBody) - before; n > sendsAfterwards {
-		t.Errorf("%d more engines ended, at most %d may", n, sendsAfterwards)
+	if n := s.runsOf(terminatingBody) - before; n > sendsAfterQuarantine {
+		t.Errorf("%d more engines terminated, want at most %d", n, sendsAfterQuarantine)
 	}
 	if retry := last.header.Get(platform.HeaderRetryAfter); last.status != http.StatusServiceUnavailable || retry != "" {
-		t.Errorf("the caller gets status %d, Retry-After %q", last.status, retry)
+		t.Errorf("quarantined request: status %d, Retry-After %q", last.status, retry)
 	}
 	if a := s.chat(s.daemons[0], "draft"); a.err != nil || a.status != http.StatusOK {
 		t.Errorf("another request: status %d, %v", a.status, a.err)
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -6,9 +6,10 @@
 	"github.com/beechhead/beechhead/internal/settings"
 )
 
-// Reload takes in a settings file that has changed. What can change while the
-// daemon runs is taken on: the seeds and the bounds of the gateway. Addresses
-// and names are for the next start. A file with faults changes nothing.
+// Reload applies a changed settings file as far as possible while the daemon
+// runs: the addresses of other hosts, and the gateway section except for its
+// own addresses and ports. Everything else takes effect at the next start. An
+// invalid file, for which err is set, changes nothing.
 func (g *Gateway) Reload(s *settings.Settings, _ *settings.Secrets, err error) {
 	if err != nil {
 		g.logger.Error("settings not reloaded", "error", err)
@@ -27,7 +28,7 @@
 	g.logger.Info("settings reloaded", "changed", !reflect.DeepEqual(old, &merged), "needsRestart", needsRestart(old, s))
 }
 
-// needsRestart tells whether a file has changes that wait for the next start.
+// needsRestart reports whether a file has changes that require a restart.
 func needsRestart(old, s *settings.Settings) bool {
 	a, b := *old, *s
 	a.Peers, b.Peers = nil, nil
@@ -42,5 +43,5 @@
 	return !reflect.DeepEqual(a, b)
 }
 
-// conf returns the settings in force.
+// conf returns the current settings.
 func (g *Gateway) conf() *settings.Settings { return g.current.Load() }
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -12,8 +12,9 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// The settings file changes while the daemon runs. Bounds and seeds are taken
-// on, addresses wait for the next start, and a bad file changes nothing.
+// A reload while the daemon runs applies the gateway's bounds and the addresses
+// of other hosts. The daemon's own name and addresses change only after a
+// restart, and an invalid file changes nothing.
 func TestReload(t *testing.T) {
 	first := settings.Settings{
 		Host: "a", PeerAddress: "127.0.0.1:1", Peers: []string{"127.0.0.1:9"},
@@ -27,17 +28,17 @@
 	changed.Gateway = &settings.Gateway{ReadyAddress: "127.0.0.1:3", Grace: table.Duration(time.Minute)}
 	g.Reload(nil, nil, errors.New("bad file"))
 	if g.conf().Gateway.Grace.Std() != 8*time.Second {
-		t.Error("a bad file changed something")
+		t.Error("an invalid file changed the settings")
 	}
 	g.Reload(&changed, nil, nil)
 	got := g.conf()
 	if got.Gateway.Grace.Std() != time.Minute || got.Peers[0] != "127.0.0.1:8" {
-		t.Errorf("not taken on: %+v", got)
+		t.Errorf("not applied: %+v", got)
 	}
 	if got.Host != "a" || got.Gateway.ReadyAddress != "127.0.0.1:2" {
-		t.Errorf("changed while running: %+v", got)
+		t.Errorf("applied without a restart: %+v", got)
 	}
 	if !needsRestart(&first, &changed) {
-		t.Error("the change of an address is not told")
+		t.Error("the change of an address is not reported to need a restart")
 	}
 }
--- /dev/null
+++ b/internal/gateway/shutdown.go
@@ -0,0 +1,92 @@
+package gateway
+
+import (
+	"context"
+	"time"
+
+	"github.com/beechhead/beechhead/internal/membership"
+	wire "github.com/beechhead/beechhead/platform"
+)
+
+const (
+	// acceptPeriod is how long a leaving daemon still accepts requests, since
+	// callers cache resolved addresses for some seconds. Requests accepted
+	// later might not end within the grace period.
+	acceptPeriod = 2500 * time.Millisecond
+	// keepAlivePeriod is the delay before idle connections are closed. By then
+	// most callers have resolved the addresses again and moved to other hosts.
+	keepAlivePeriod = 1200 * time.Millisecond
+	// departureDelay is the time allowed for notifying all hosts of the
+	// departure.
+	departureDelay = 200 * time.Millisecond
+	// leavePollInterval is the interval at which a leaving daemon checks
+	// whether all requests have ended.
+	leavePollInterval = 50 * time.Millisecond
+)
+
+// Drain starts the graceful shutdown.
+func (g *Gateway) Drain() { g.drainOnce.Do(func() { close(g.draining) }) }
+
+// leaving reports whether the graceful shutdown has begun.
+func (g *Gateway) leaving() bool {
+	select {
+	case <-g.draining:
+		return true
+	default:
+		return false
+	}
+}
+
+// shutDown waits for the graceful shutdown to be started and carries it out:
+// the host is no longer returned to callers, connections are closed between
+// requests, and requests in progress are completed.
+func (g *Gateway) shutDown(ctx context.Context) error {
+	select {
+	case <-ctx.Done():
+		return nil
+	case <-g.draining:
+	}
+	began := g.clock.Now()
+	g.logger.Info("leaving", "inProgress", g.inProgress.Load())
+	g.view.UpdateSelf(func(h *membership.Host) { h.State = membership.Leaving })
+	g.unregister(ctx)
+	g.wait(ctx, keepAlivePeriod-g.clock.Since(began))
+	g.callerHTTP.SetKeepAlivesEnabled(false)
+	g.wait(ctx, acceptPeriod-g.clock.Since(began))
+	stopped, cancel := context.WithTimeout(ctx, g.conf().Gateway.Grace.Std())
+	defer cancel()
+	if err := g.callerHTTP.Shutdown(stopped); err != nil {
+		g.logger.Warn("requests are cut off", "inProgress", g.inProgress.Load(), "error", err)
+	}
+	for g.inProgress.Load() > 0 && stopped.Err() == nil {
+		g.wait(ctx, leavePollInterval)
+	}
+	g.view.Depart()
+	g.heartbeats.Refresh(ctx)
+	g.wait(ctx, departureDelay)
+	g.logger.Info("left")
+	return nil
+}
+
+func (g *Gateway) wait(ctx context.Context, d time.Duration) {
+	if d <= 0 {
+		return
+	}
+	select {
+	case <-ctx.Done():
+	case <-g.clock.After(d):
+	}
+}
+
+// unregister removes this daemon from the list in the store. It makes only one
+// attempt, with a short timeout.
+func (g *Gateway) unregister(ctx context.Context) {
+	if !g.selfRegistered.Swap(false) {
+		return
+	}
+	ctx, cancel := context.WithTimeout(ctx, registerTimeout/2)
+	defer cancel()
+	if err := g.store.RemoveRow(ctx, wire.TableHosts, string(g.view.Self().ID)); err != nil {
+		g.logger.Warn("not taken off the list in the store", "error", err)
+	}
+}
--- a/internal/gateway/site_test.go
+++ b/internal/gateway/site_test.go
@@ -23,17 +23,17 @@
 	"github.com/beechhead/beechhead/platform/standin"
 )
 
-// Ports of the daemons; each has a loopback address of its own.
+// Ports of the daemons. Each daemon has its own loopback address.
 const (
-	testCallers   = 17401
-	testPeers     = 17402
-	testFigures   = 17403
-	testReady     = 17404
-	testDirectory = 17405
-	testBeacons   = 17406
+	testCallerPort    = 17401
+	testPeerPort      = 17402
+	testMetricsPort   = 17403
+	testReadyPort     = 17404
+	testDirectoryPort = 17405
+	testBeaconPort    = 17406
 )
 
-// testSite is a store, engines and daemons on loopback.
+// testSite runs a fake store, fake engines and daemons on loopback.
 type testSite struct {
 	t       *testing.T
 	store   *standin.Store
@@ -45,7 +45,7 @@
 type testEngine struct {
 	*standin.Engine
 	server *httptest.Server
-	// pool and address are what the engine registers.
+	// pool and address are those that the engine registers.
 	pool, address string
 }
 
@@ -72,7 +72,7 @@
 		s.addDaemon()
 	}
 	for _, d := range s.daemons {
-		s.await("ready", func() bool { return d.g.takesCallers() && d.g.view.Ready().Len() >= n })
+		s.await("ready", func() bool { return d.g.acceptsCallers() && d.g.view.Ready().Len() >= n })
 	}
 	return s
 }
@@ -99,11 +99,11 @@
 	at := func(port int) string { return fmt.Sprintf("%s:%d", d.ip, port) }
 	d.g = New(&settings.Settings{
 		Host: fmt.Sprintf("host-%d", len(s.daemons)), Region: "r", Zone: "z",
-		CallerAddress: at(testCallers), PeerAddress: at(testPeers), OperatorAddress: at(testFigures),
-		Peers:    []string{fmt.Sprintf("127.0.0.11:%d", testPeers)},
+		CallerAddress: at(testCallerPort), PeerAddress: at(testPeerPort), OperatorAddress: at(testMetricsPort),
+		Peers:    []string{fmt.Sprintf("127.0.0.11:%d", testPeerPort)},
 		Platform: settings.Platform{URL: store.URL, Timeout: table.Duration(700 * time.Millisecond)},
 		Gateway: &settings.Gateway{
-			ReadyAddress: at(testReady), DirectoryAddress: at(testDirectory), BeaconPort: testBeacons,
+			ReadyAddress: at(testReadyPort), DirectoryAddress: at(testDirectoryPort), BeaconPort: testBeaconPort,
 			AddressLifetime: table.Duration(2 * time.Second), RevokeAfter: table.Duration(5 * time.Second),
 			Grace: table.Duration(8 * time.Second),
 			Retry: settings.Retry{Share: 0.2, Slack: 100, Window: table.Duration(10 * time.Second)},
@@ -122,12 +122,13 @@
 	return d
 }
 
-// await waits until something holds. The bound only ends a test that fails.
-func (s *testSite) await(what string, holds func() bool) {
+// await waits until a condition holds. The timeout is generous; it only ends
+// failing tests.
+func (s *testSite) await(what string, condition func() bool) {
 	s.t.Helper()
-	for end := time.Now().Add(30 * time.Second); !holds(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(30 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			s.t.Fatalf("%s: not reached", what)
+			s.t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
@@ -145,8 +146,8 @@
 	return fmt.Sprintf("id-%d", requestN)
 }
 
-// answer is what a caller got.
-type answer struct {
+// response is the response that a caller received.
+type response struct {
 	id     string
 	status int
 	header http.Header
@@ -154,14 +155,14 @@
 	err    error
 }
 
-// call sends one request over a connection of its own.
-func (s *testSite) call(d *testDaemon, method, target string, header map[string]string, body string) answer {
+// call sends one request on a new connection.
+func (s *testSite) call(d *testDaemon, method, target string, header map[string]string, body string) response {
 	s.t.Helper()
-	req, err := http.NewRequest(method, "http://"+d.ip+":"+fmt.Sprint(testCallers)+target, strings.NewReader(body))
+	req, err := http.NewRequest(method, "http://"+d.ip+":"+fmt.Sprint(testCallerPort)+target, strings.NewReader(body))
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	a := answer{id: nextID()}
+	a := response{id: nextID()}
 	req.Host = standin.SampleHost
 	req.Close = true
 	req.Header.Set(platform.HeaderRequestID, a.id)
@@ -181,17 +182,17 @@
 	return a
 }
 
-// chat sends a request for a stream.
-func (s *testSite) chat(d *testDaemon, route string) answer {
+// chat sends a stream request.
+func (s *testSite) chat(d *testDaemon, route string) response {
 	return s.call(d, http.MethodPost, "/"+route+"/x", map[string]string{
 		platform.HeaderTokens: "1200,30", platform.HeaderParts: "aa:800,bb:300,cc:100",
 	}, "prompt")
 }
 
-// raw writes bytes to a daemon and returns all that comes back.
+// raw writes bytes to a daemon and returns everything that it sends back.
 func (s *testSite) raw(d *testDaemon, stream string) string {
 	s.t.Helper()
-	c, err := net.Dial("tcp", net.JoinHostPort(d.ip, strconv.Itoa(testCallers)))
+	c, err := net.Dial("tcp", net.JoinHostPort(d.ip, strconv.Itoa(testCallerPort)))
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -202,7 +203,7 @@
 	return string(data)
 }
 
-// runs returns the runs of a request over all engines.
+// runs returns the executions of a request on all engines.
 func (s *testSite) runs(id string) []standin.Run {
 	var all []standin.Run
 	for _, e := range s.engines {
@@ -215,14 +216,14 @@
 	return all
 }
 
-// setFaults switches the faults of all endpoints.
+// setFaults sets the injected faults of all endpoints.
 func (s *testSite) setFaults(f standin.EngineFaults) {
 	for _, e := range s.engines {
 		e.SetFaults(f)
 	}
 }
 
-func wholeStream(id string, n int) string {
+func fullStream(id string, n int) string {
 	var b bytes.Buffer
 	for i := 1; i <= n; i++ {
 		fmt.Fprintf(&b, "id: %d\ndata: %s event %d\n\n", i, id, i)
@@ -230,9 +231,9 @@
 	return b.String()
 }
 
-// resolve asks a daemon where to connect.
+// resolve requests the addresses to connect to from a daemon.
 func (s *testSite) resolve(d *testDaemon) []string {
-	resp, err := http.Get(fmt.Sprintf("http://%s:%d%s?name=h.example&region=r&zone=z", d.ip, testDirectory, platform.PathResolve))
+	resp, err := http.Get(fmt.Sprintf("http://%s:%d%s?name=h.example&region=r&zone=z", d.ip, testDirectoryPort, platform.PathResolve))
 	if err != nil {
 		return nil
 	}
