--- a/internal/facts/change.go
+++ b/internal/facts/change.go
@@ -13,9 +13,9 @@
 	// Whole is set if the update was a list of all endpoints.
 	Whole bool
 	// Registered, Draining and Gone hold the endpoints by their present state.
-	// Kept are no longer registered but count as registered during the grace
+	// Retained are no longer registered but count as registered during the grace
 	// period.
-	Registered, Draining, Gone, Kept []EndpointID
+	Registered, Draining, Gone, Retained []EndpointID
 }
 
 // fromTimer stands for the sender in changes that are due to elapsed time
@@ -27,7 +27,7 @@
 func (c *Change) add(e Endpoint, removed bool) {
 	switch {
 	case removed && !e.Gone:
-		c.Kept = append(c.Kept, e.ID)
+		c.Retained = append(c.Retained, e.ID)
 	case e.Gone:
 		c.Gone = append(c.Gone, e.ID)
 	case e.Draining:
@@ -38,7 +38,7 @@
 }
 
 func (c *Change) nonEmpty() bool {
-	return len(c.Registered)+len(c.Draining)+len(c.Gone)+len(c.Kept) > 0
+	return len(c.Registered)+len(c.Draining)+len(c.Gone)+len(c.Retained) > 0
 }
 
 // maxLoggedIDs is the maximum number of endpoints of each kind that a log line
@@ -61,7 +61,7 @@
 	for _, kind := range []struct {
 		name string
 		ids  []EndpointID
-	}{{"registered", c.Registered}, {"draining", c.Draining}, {"gone", c.Gone}, {"kept", c.Kept}} {
+	}{{"registered", c.Registered}, {"draining", c.Draining}, {"gone", c.Gone}, {"kept", c.Retained}} {
 		if len(kind.ids) == 0 {
 			continue
 		}
--- a/internal/facts/endpoints.go
+++ b/internal/facts/endpoints.go
@@ -48,7 +48,7 @@
 }
 
 // Merge applies an update of endpoints.
-func (h *Holder) Merge(n News) {
+func (h *Holder) Merge(n EndpointUpdate) {
 	h.mu.Lock()
 	c := Change{From: n.From, Before: h.registry.position, Position: n.Position, Whole: n.Whole}
 	now := h.now()
@@ -70,15 +70,15 @@
 	if !c.nonEmpty() {
 		return
 	}
-	h.OnNews(c)
+	h.OnEndpointChange(c)
 	h.OnChange()
 }
 
-// OpenGrace records that the store was unavailable and that the grace period
+// ExtendGrace records that the store was unavailable and that the grace period
 // lasts until the given time, as a read of the store or another daemon shows.
 // It is ignored if the endpoint list is recent: a daemon that has received the
 // store's changes in the meantime knows that the store was available.
-func (h *Holder) OpenGrace(until storetime.Instant) {
+func (h *Holder) ExtendGrace(until storetime.Instant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if age, ok := h.endpointsAge(); ok && age <= outageAge {
@@ -102,23 +102,23 @@
 	h.notify(c)
 }
 
-// ConfirmEndpoints records that another daemon knew all changes up to a
-// position, the newest of them at the position told, as of a time. It is
-// ignored if either daemon lacks a change that the other one has.
-func (h *Holder) ConfirmEndpoints(told, position Position, asOf storetime.Instant) {
+// ConfirmEndpoints records that another daemon knew all changes up to position
+// as of a time, the last of them at newest. It is ignored if either daemon
+// lacks a change that the other one has.
+func (h *Holder) ConfirmEndpoints(newest, position Position, asOf storetime.Instant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r := &h.registry
-	if position == 0 || r.position == 0 || told > r.position || told < r.changed {
+	if position == 0 || r.position == 0 || newest > r.position || newest < r.changed {
 		return
 	}
 	r.position = max(r.position, position)
 	h.endpointsAsOf = max(h.endpointsAsOf, asOf)
 }
 
-// Since returns what a daemon lacks that knows the given configuration version
-// and position.
-func (h *Holder) Since(config catalog.Version, position Position) Delta {
+// DeltaSince returns what a daemon lacks that knows the given configuration
+// version and position.
+func (h *Holder) DeltaSince(config catalog.Version, position Position) Delta {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	d := Delta{Summary: h.summary()}
@@ -144,8 +144,8 @@
 	return rows
 }
 
-// Learn applies a delta received from another daemon.
-func (h *Holder) Learn(d Delta) error {
+// ApplyDelta applies a delta received from another daemon.
+func (h *Holder) ApplyDelta(d Delta) error {
 	if len(d.Data) > 0 {
 		if err := h.SetConfig(Config{Version: d.Config, Data: d.Data}, d.ConfigAsOf); err != nil {
 			return err
@@ -155,9 +155,9 @@
 	if d.Position == 0 {
 		return nil
 	}
-	h.OpenGrace(d.GraceUntil)
-	n := News{From: d.From, Endpoints: d.Endpoints, Whole: d.Whole, Position: d.Position, AsOf: d.EndpointsAsOf}
-	if d.Told() < h.Summary().Changed && !d.Whole {
+	h.ExtendGrace(d.GraceUntil)
+	n := EndpointUpdate{From: d.From, Endpoints: d.Endpoints, Whole: d.Whole, Position: d.Position, AsOf: d.EndpointsAsOf}
+	if d.RequiredPosition() < h.Summary().Changed && !d.Whole {
 		// The sender lacks a change that is known here.
 		n.Position, n.AsOf = 0, 0
 	}
--- a/internal/facts/facts.go
+++ b/internal/facts/facts.go
@@ -65,12 +65,12 @@
 	GraceUntil storetime.Instant
 }
 
-// Told returns the position that a daemon must have reached to accept this
+// RequiredPosition returns the position that a daemon must have reached to accept this
 // one's confirmation that nothing has changed since.
-func (s Summary) Told() Position { return max(s.Changed, s.Base) }
+func (s Summary) RequiredPosition() Position { return max(s.Changed, s.Base) }
 
-// News is an update of endpoints.
-type News struct {
+// EndpointUpdate is an update of endpoints.
+type EndpointUpdate struct {
 	// From is the daemon that sent the update; empty for the store.
 	From string
 	// Endpoints are those that changed, or all existing ones if Whole is set.
@@ -102,8 +102,8 @@
 	// OnChange is called, without the lock held, after the catalog or the
 	// endpoints have changed.
 	OnChange func()
-	// OnNews is called, without the lock held, with each change of endpoints.
-	OnNews func(Change)
+	// OnEndpointChange is called, without the lock held, with each change of endpoints.
+	OnEndpointChange func(Change)
 	// OnEra is called, without the lock held, when the store has been restored
 	// from a backup.
 	OnEra func(from, to platform.Era)
@@ -124,13 +124,13 @@
 // NewHolder returns a holder without facts.
 func NewHolder(clock *storetime.Clock, parse func([]byte) (*catalog.Catalog, error)) *Holder {
 	return &Holder{
-		Parse:    parse,
-		OnChange: func() {},
-		OnNews:   func(Change) {},
-		OnEra:    func(_, _ platform.Era) {},
-		clock:    clock,
-		registry: registry{rows: map[EndpointID]Endpoint{}},
-		grace:    gracePeriod{retained: map[EndpointID]storetime.Instant{}},
+		Parse:            parse,
+		OnChange:         func() {},
+		OnEndpointChange: func(Change) {},
+		OnEra:            func(_, _ platform.Era) {},
+		clock:            clock,
+		registry:         registry{rows: map[EndpointID]Endpoint{}},
+		grace:            gracePeriod{retained: map[EndpointID]storetime.Instant{}},
 	}
 }
 
--- a/internal/facts/facts_test.go
+++ b/internal/facts/facts_test.go
@@ -94,7 +94,7 @@
 // change.
 func TestEndpointsAreConfirmedOnlyWithoutGaps(t *testing.T) {
 	s := newFixture()
-	s.holder.Merge(News{Endpoints: []Endpoint{{ID: "a", Changed: 10}}, Position: 12, Whole: true})
+	s.holder.Merge(EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Changed: 10}}, Position: 12, Whole: true})
 	s.boot.Advance(time.Second)
 	s.holder.ConfirmEndpoints(10, 20, s.now())
 	if got := s.holder.Summary(); got.Position != 20 || got.EndpointsAsOf != s.now() {
@@ -111,12 +111,12 @@
 // afterwards.
 func TestDeltaBringsReceiverUpToDate(t *testing.T) {
 	a, b := newFixture(), newFixture()
-	a.holder.Merge(News{Endpoints: []Endpoint{{ID: "x", Changed: 3}, {ID: "y", Changed: 4}}, Position: 5, Whole: true})
-	if err := b.holder.Learn(a.holder.Since(0, 0)); err != nil {
+	a.holder.Merge(EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Changed: 3}, {ID: "y", Changed: 4}}, Position: 5, Whole: true})
+	if err := b.holder.ApplyDelta(a.holder.DeltaSince(0, 0)); err != nil {
 		t.Fatal(err)
 	}
-	a.holder.Merge(News{Endpoints: []Endpoint{{ID: "x", Changed: 8, Draining: true}, {ID: "y", Changed: 9, Gone: true}}, Position: 9})
-	if err := b.holder.Learn(a.holder.Since(0, b.holder.Summary().Position)); err != nil {
+	a.holder.Merge(EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Changed: 8, Draining: true}, {ID: "y", Changed: 9, Gone: true}}, Position: 9})
+	if err := b.holder.ApplyDelta(a.holder.DeltaSince(0, b.holder.Summary().Position)); err != nil {
 		t.Fatal(err)
 	}
 	got := b.holder.Endpoints()
@@ -127,12 +127,12 @@
 
 func newEndpointReader(s *fixture) *Reader {
 	return &Reader{
-		Clock:   clockwork.NewFakeClock(),
-		Boot:    s.boot,
-		Store:   s.clock,
-		Holder:  s.holder,
-		Metrics: metric.NewRegistry(),
-		Logger:  slog.New(slog.DiscardHandler),
+		Clock:      clockwork.NewFakeClock(),
+		Boot:       s.boot,
+		StoreClock: s.clock,
+		Holder:     s.holder,
+		Metrics:    metric.NewRegistry(),
+		Logger:     slog.New(slog.DiscardHandler),
 		DecodeEndpoint: func(row platform.FeedRow) (Endpoint, bool) {
 			return Endpoint{ID: EndpointID(row.Key), Address: string(row.Value)}, len(row.Value) > 0
 		},
@@ -171,7 +171,7 @@
 	// same time.
 	other := newFixture()
 	other.boot.Advance(s.boot.Now())
-	if err := other.holder.Learn(s.holder.Since(0, 2)); err != nil {
+	if err := other.holder.ApplyDelta(s.holder.DeltaSince(0, 2)); err != nil {
 		t.Fatal(err)
 	}
 	if e := other.holder.registry.rows["a"]; !e.Gone || e.Changed != 3 {
@@ -190,7 +190,7 @@
 		t.Errorf("after the grace period: %q, want b", got)
 	}
 	other.boot.Advance(time.Second + graceTime)
-	if err := other.holder.Learn(s.holder.Since(0, 3)); err != nil {
+	if err := other.holder.ApplyDelta(s.holder.DeltaSince(0, 3)); err != nil {
 		t.Fatal(err)
 	}
 	if got := ids(other.holder.Endpoints()); got != "b" {
--- a/internal/facts/feedgaps_test.go
+++ b/internal/facts/feedgaps_test.go
@@ -146,10 +146,10 @@
 func newGapDaemon(s *gapStore) *gapDaemon {
 	clock := storetime.NewClock(s.boot)
 	r := &Reader{
-		Boot:    s.boot,
-		Store:   clock,
-		Logger:  slog.New(slog.DiscardHandler),
-		Metrics: metric.NewRegistry(),
+		Boot:       s.boot,
+		StoreClock: clock,
+		Logger:     slog.New(slog.DiscardHandler),
+		Metrics:    metric.NewRegistry(),
 		Holder: NewHolder(clock, func([]byte) (*catalog.Catalog, error) {
 			c := &catalog.Catalog{}
 			c.Index()
@@ -186,15 +186,15 @@
 // receive processes what another daemon reports of its facts.
 func (d *gapDaemon) receive(from *gapDaemon) {
 	s := from.Holder.Summary()
-	d.Store.Observe(d.Boot.Now(), storetime.Instant(d.Boot.Now()/time.Millisecond))
+	d.StoreClock.Observe(d.Boot.Now(), storetime.Instant(d.Boot.Now()/time.Millisecond))
 	d.Holder.ConfirmConfig(s.Config, s.ConfigAsOf)
-	d.Holder.ConfirmEndpoints(s.Told(), s.Position, s.EndpointsAsOf)
+	d.Holder.ConfirmEndpoints(s.RequiredPosition(), s.Position, s.EndpointsAsOf)
 	own := d.Holder.Summary()
 	switch {
-	case s.Config > own.Config || s.Told() > own.Position:
-		_ = d.Holder.Learn(from.Holder.Since(own.Config, own.Position))
+	case s.Config > own.Config || s.RequiredPosition() > own.Position:
+		_ = d.Holder.ApplyDelta(from.Holder.DeltaSince(own.Config, own.Position))
 	case s.EndpointsAsOf.Sub(own.EndpointsAsOf) > time.Second:
-		_ = d.Holder.Learn(from.Holder.Since(own.Config, 0))
+		_ = d.Holder.ApplyDelta(from.Holder.DeltaSince(own.Config, 0))
 	}
 }
 
@@ -258,8 +258,8 @@
 		case "fetch all":
 			// A complete list, whatever the positions of the two.
 			from := daemons[rapid.IntRange(0, len(daemons)-1).Draw(t, "from")]
-			d.Store.Observe(d.Boot.Now(), s.now())
-			_ = d.Holder.Learn(from.Holder.Since(0, 0))
+			d.StoreClock.Observe(d.Boot.Now(), s.now())
+			_ = d.Holder.ApplyDelta(from.Holder.DeltaSince(0, 0))
 		case "start":
 			daemons[i] = newDaemon(s)
 		case "edit":
--- a/internal/facts/position_test.go
+++ b/internal/facts/position_test.go
@@ -17,7 +17,7 @@
 	s.put("e1", "")
 	s.boot.Advance(100 * time.Millisecond)
 	fresh.poll()
-	if err := fresh.Holder.Learn(old.Holder.Since(0, 0)); err != nil {
+	if err := fresh.Holder.ApplyDelta(old.Holder.DeltaSince(0, 0)); err != nil {
 		t.Fatal(err)
 	}
 	if got := ids(fresh.Holder.Endpoints()); got != "e2" {
@@ -94,10 +94,10 @@
 	s.boot.Advance(100 * time.Millisecond)
 	fresh.endpoints.synced, fresh.endpoints.historyGone = false, true
 	fresh.poll()
-	if err := fresh.Holder.Learn(old.Holder.Since(0, fresh.Holder.Summary().Position)); err != nil {
+	if err := fresh.Holder.ApplyDelta(old.Holder.DeltaSince(0, fresh.Holder.Summary().Position)); err != nil {
 		t.Fatal(err)
 	}
-	if err := fresh.Holder.Learn(old.Holder.Since(0, 0)); err != nil {
+	if err := fresh.Holder.ApplyDelta(old.Holder.DeltaSince(0, 0)); err != nil {
 		t.Fatal(err)
 	}
 	if got := ids(fresh.Holder.Endpoints()); got != "e2" {
--- a/internal/facts/reader.go
+++ b/internal/facts/reader.go
@@ -53,12 +53,12 @@
 // Reader reads the store and passes what it finds to Holder. Fields must be
 // set before it runs.
 type Reader struct {
-	Clock   clockwork.Clock
-	Boot    boottime.Clock
-	Store   *storetime.Clock
-	Holder  *Holder
-	Logger  *slog.Logger
-	Metrics *metric.Registry
+	Clock      clockwork.Clock
+	Boot       boottime.Clock
+	StoreClock *storetime.Clock
+	Holder     *Holder
+	Logger     *slog.Logger
+	Metrics    *metric.Registry
 	// Config is the feed of the operators' configuration, Endpoints that of the
 	// registrations.
 	Config, Endpoints Feed
@@ -68,10 +68,10 @@
 	// DecodeEndpoint decodes a registration; false if the row is not one of an
 	// endpoint.
 	DecodeEndpoint func(row platform.FeedRow) (Endpoint, bool)
-	// OnDuty reports whether this daemon is to read the store.
-	OnDuty func() bool
-	// Told is called after each successful read.
-	Told func()
+	// ShouldRead reports whether this daemon is to read the store.
+	ShouldRead func() bool
+	// OnRead is called after each successful read.
+	OnRead func()
 
 	// newest is the greatest position in any response of the store.
 	newest atomic.Uint64
@@ -134,10 +134,10 @@
 	})
 }
 
-// follow keeps up with one feed while OnDuty reports true.
+// follow keeps up with one feed while ShouldRead reports true.
 func (r *Reader) follow(ctx context.Context, t *feedState) {
 	for ctx.Err() == nil {
-		if !r.OnDuty() {
+		if !r.ShouldRead() {
 			t.synced, t.historyGone, t.failures = false, false, 0
 			r.sleep(ctx, r.checkInterval())
 			continue
@@ -150,7 +150,7 @@
 			r.Logger.Info("store regained", "feed", t.name)
 		}
 		t.failures = 0
-		r.Told()
+		r.OnRead()
 		r.sleep(ctx, t.interval)
 	}
 }
@@ -188,7 +188,7 @@
 		// The versions of another era don't show what has changed since.
 		return errEraChanged
 	}
-	r.Store.Observe(sent, storetime.Instant(n.rows.NowMs))
+	r.StoreClock.Observe(sent, storetime.Instant(n.rows.NowMs))
 	n.upTo = at
 	if !n.whole {
 		n.rows.Rows = newestRows(n.rows.Rows)
@@ -243,7 +243,7 @@
 // reached.
 func (r *Reader) newestKnown() Position {
 	s := r.Holder.Summary()
-	return max(Position(r.newest.Load()), s.Position, s.Told())
+	return max(Position(r.newest.Load()), s.Position, s.RequiredPosition())
 }
 
 // responseEra returns the era of a response. An invalid one, or one that had
--- a/internal/facts/readerselection.go
+++ b/internal/facts/readerselection.go
@@ -23,17 +23,17 @@
 	probeDoublingTime = 2 * time.Second
 )
 
-// Patience returns how long a daemon waits for reported reads before it takes
+// TakeoverDelay returns how long a daemon waits for reported reads before it takes
 // over. Its rank is the number of hosts before it in the order.
-func Patience(rank int) time.Duration {
+func TakeoverDelay(rank int) time.Duration {
 	return readerTimeout + time.Duration(max(rank-Readers, 0))*takeoverStep
 }
 
-// Probes reports whether a daemon is to read the store because the facts are
+// ShouldProbe reports whether a daemon is to read the store because the facts are
 // old at every daemon that it reaches. This is the case in an outage of the
 // store, where only a few daemons need to find out when it ends, and when the
 // store rejects all readers, so that others must try.
-func Probes(rank int, age time.Duration) bool {
+func ShouldProbe(rank int, age time.Duration) bool {
 	if age <= probeAfter {
 		return false
 	}
@@ -44,14 +44,14 @@
 // if no other daemon responds to its requests.
 func Stale(age time.Duration) bool { return age > probeAfter }
 
-// Duty reports whether a daemon is to read the store: it is one of the first
+// ShouldRead reports whether a daemon is to read the store: it is one of the first
 // in order, or too few of those before it have recently reported a read. The
 // later a daemon is in the order, the longer it waits, so that it learns first
 // whether the one before it reads. The rank is the number of hosts before it.
 // For those of them that have reported a read, heard holds the time since the
 // last one; unheard is the time that counts for the others.
-func Duty(rank int, heard []time.Duration, unheard time.Duration) bool {
-	timeout := Patience(rank)
+func ShouldRead(rank int, heard []time.Duration, unheard time.Duration) bool {
+	timeout := TakeoverDelay(rank)
 	active := 0
 	if unheard <= timeout {
 		active = rank - len(heard)
--- a/internal/facts/readerselection_test.go
+++ b/internal/facts/readerselection_test.go
@@ -34,7 +34,7 @@
 			}
 			var heard []time.Duration
 			for rank, id := range tt.Order {
-				if got := Duty(rank, heard, Patience(rank)+1); got != want[id] {
+				if got := ShouldRead(rank, heard, TakeoverDelay(rank)+1); got != want[id] {
 					t.Errorf("%s reads: %v, want %v", id, got, want[id])
 				}
 				heard = append(heard, time.Duration(tt.AgoMs[id])*time.Millisecond)
--- a/internal/facts/registrations.go
+++ b/internal/facts/registrations.go
@@ -9,13 +9,13 @@
 func (r *Reader) applyEndpoints(n feedResponse) {
 	asOf := storetime.Instant(n.rows.NowMs)
 	if age, ok := r.Holder.EndpointsAge(); ok && (age > unconfirmedOutageAge || age > outageAge && n.afterFailure) {
-		r.Holder.OpenGrace(asOf.Add(graceTime))
+		r.Holder.ExtendGrace(asOf.Add(graceTime))
 	}
 	rows := make([]Endpoint, 0, len(n.rows.Rows))
 	for _, row := range n.rows.Rows {
 		rows = append(rows, r.registration(row, n.upTo.Era()))
 	}
-	r.Holder.Merge(News{Endpoints: rows, Whole: n.whole, Position: n.upTo, AsOf: asOf})
+	r.Holder.Merge(EndpointUpdate{Endpoints: rows, Whole: n.whole, Position: n.upTo, AsOf: asOf})
 }
 
 // registration decodes a row of an era.
--- a/internal/facts/registry.go
+++ b/internal/facts/registry.go
@@ -23,7 +23,7 @@
 }
 
 // merge applies an update and returns the rows that changed.
-func (r *registry) merge(n News) (changed []Endpoint) {
+func (r *registry) merge(n EndpointUpdate) (changed []Endpoint) {
 	whole := n.Whole && n.Position >= r.position
 	for _, e := range n.Endpoints {
 		if e, ok := r.put(e, whole); ok {
--- a/internal/facts/restoreguard.go
+++ b/internal/facts/restoreguard.go
@@ -65,7 +65,7 @@
 // beginEra begins the restore guard and a grace period if an update shows that
 // the store was restored from a backup. It must be called before the update is
 // merged, with the lock held.
-func (h *Holder) beginEra(n News) (from platform.Era, began bool) {
+func (h *Holder) beginEra(n EndpointUpdate) (from platform.Era, began bool) {
 	from = h.registry.position.Era()
 	if h.registry.position == 0 || n.Position.Era() <= from {
 		return from, false
--- a/internal/factsync/answer.go
+++ b/internal/factsync/answer.go
@@ -58,9 +58,9 @@
 
 // Answer responds to another daemon's request for facts.
 func (s *Syncer) Answer(req *peerv1.FactsRequest) *peerv1.FactsResponse {
-	d := s.Holder.Since(catalog.Version(req.GetConfigVersion()), facts.Position(req.GetPosition()))
+	d := s.Holder.DeltaSince(catalog.Version(req.GetConfigVersion()), facts.Position(req.GetPosition()))
 	resp := toMessage(d)
-	if now, ok := s.Store.Latest(); ok {
+	if now, ok := s.StoreClock.Latest(); ok {
 		resp.StoreNow = int64(now)
 	}
 	if len(d.Data) == 0 {
@@ -84,7 +84,7 @@
 		Position:      uint64(d.Position),
 		EndpointsAsOf: int64(d.EndpointsAsOf),
 		Whole:         d.Whole,
-		Changed:       uint64(d.Told()),
+		Changed:       uint64(d.RequiredPosition()),
 		GraceUntil:    int64(d.GraceUntil),
 	}
 	for _, e := range d.Endpoints {
--- a/internal/factsync/beacons.go
+++ b/internal/factsync/beacons.go
@@ -22,19 +22,19 @@
 		Address:       self.PeerAddress,
 		ConfigVersion: uint64(sum.Config),
 		ConfigAsOf:    int64(sum.ConfigAsOf),
-		Changed:       uint64(sum.Told()),
+		Changed:       uint64(sum.RequiredPosition()),
 		Position:      uint64(sum.Position),
 		EndpointsAsOf: int64(sum.EndpointsAsOf),
 		GraceUntil:    int64(sum.GraceUntil),
 	}
 }
 
-// Tell notifies all hosts after a read of the store. In a large fleet the
+// Broadcast notifies all hosts after a read of the store. In a large fleet the
 // hosts are divided into groups and the first host of each forwards the beacon
 // to the others, so that what a reader sends grows with the square root of the
 // fleet size. The groups are drawn again each time: a host that is down cuts
 // others off from one beacon only.
-func (s *Syncer) Tell() {
+func (s *Syncer) Broadcast() {
 	b := s.Beacon()
 	hosts := s.otherHosts()
 	if len(hosts) <= maxDirectHosts {
@@ -117,5 +117,5 @@
 	s.mu.Lock()
 	s.lastReads[membership.HostID(b.GetHost())] = s.Boot.Now()
 	s.mu.Unlock()
-	s.OnTold(b)
+	s.OnReport(b)
 }
--- a/internal/factsync/beacons_test.go
+++ b/internal/factsync/beacons_test.go
@@ -50,7 +50,7 @@
 	for _, h := range s.hosts {
 		clock := storetime.NewClock(boot)
 		d := &Syncer{
-			Boot: boot, Store: clock, Logger: slog.New(slog.DiscardHandler), Metrics: metric.NewRegistry(),
+			Boot: boot, StoreClock: clock, Logger: slog.New(slog.DiscardHandler), Metrics: metric.NewRegistry(),
 			Holder: newTestHolder(clock),
 			Self:   func() membership.Host { return h },
 			Hosts:  func() *membership.Snapshot { return s.known },
@@ -67,8 +67,8 @@
 func newTestHolder(clock *storetime.Clock) *facts.Holder {
 	const moment = 1 << 41
 	h := facts.NewHolder(clock, func([]byte) (*catalog.Catalog, error) { return &catalog.Catalog{}, nil })
-	h.OpenGrace(moment)
-	h.Merge(facts.News{Endpoints: []facts.Endpoint{{ID: "a", Changed: 1 << 30}}, Position: 1 << 31, AsOf: moment, Whole: true})
+	h.ExtendGrace(moment)
+	h.Merge(facts.EndpointUpdate{Endpoints: []facts.Endpoint{{ID: "a", Changed: 1 << 30}}, Position: 1 << 31, AsOf: moment, Whole: true})
 	_ = h.SetConfig(facts.Config{Version: 1 << 20}, moment)
 	return h
 }
@@ -90,7 +90,7 @@
 		s := newBeaconSite(n)
 		reader := s.hosts[0].PeerAddress
 		for range beaconsPerSecond {
-			s.daemons[reader].Tell()
+			s.daemons[reader].Broadcast()
 		}
 		for _, h := range s.hosts[1:] {
 			if got := s.got[h.PeerAddress]; got != beaconsPerSecond {
--- a/internal/factsync/bound_test.go
+++ b/internal/factsync/bound_test.go
@@ -119,7 +119,7 @@
 // readers returns the hosts that read the store.
 func (p *scenario) readers() (readers []int) {
 	for i := range p.daemons {
-		if d := p.daemon(i); d.reachable() && d.sync.OnDuty() {
+		if d := p.daemon(i); d.reachable() && d.sync.ShouldRead() {
 			readers = append(readers, i)
 		}
 	}
--- a/internal/factsync/sim_test.go
+++ b/internal/factsync/sim_test.go
@@ -245,10 +245,10 @@
 	})
 	d.holder.OnChange = d.markReady
 	d.sync = &Syncer{
-		Clock: clock, Boot: s.clock, Store: storeTime, Holder: d.holder,
+		Clock: clock, Boot: s.clock, StoreClock: storeTime, Holder: d.holder,
 		Logger: slog.New(slog.DiscardHandler), Metrics: metric.NewRegistry(),
 		Self: d.view.Self, Hosts: d.view.Hosts, Staying: d.view.Staying,
-		Send: d.send, Ask: d.ask, Pick: s.pick, Expected: func() bool { return true },
+		Send: d.send, Fetch: d.ask, Pick: s.pick, PeersExpected: func() bool { return true },
 		DocumentRate: configLinkShare * s.link(id),
 	}
 	d.sync.Start()
@@ -257,7 +257,7 @@
 		Replace:  func(string) {},
 		Heard:    func(membership.News, time.Time, time.Duration) {},
 		StoreAge: func() time.Duration { return 0 },
-		Facts:    d.sync.Beacon, OnFacts: func(b *peerv1.Beacon) { d.sync.OnTold(d.received(b)) },
+		Facts:    d.sync.Beacon, OnFacts: func(b *peerv1.Beacon) { d.sync.OnReport(d.received(b)) },
 		Seeds: func() []string { return []string{"0", "1", "2"} },
 		Load:  func() uint32 { return 0 },
 
@@ -280,7 +280,7 @@
 
 func (s *simSite) newReader(d *simDaemon) *facts.Reader {
 	return &facts.Reader{
-		Clock: d.sync.Clock, Boot: s.clock, Store: d.sync.Store, Holder: d.holder,
+		Clock: d.sync.Clock, Boot: s.clock, StoreClock: d.sync.StoreClock, Holder: d.holder,
 		Logger: d.sync.Logger, Metrics: d.sync.Metrics,
 		Config: s.store.feed(d, "c"), Endpoints: s.store.feed(d, "e"),
 		DecodeConfig: func(rows []platform.FeedRow) (c facts.Config, ok bool) {
@@ -295,7 +295,7 @@
 			address, draining := strings.CutSuffix(string(row.Value), " draining")
 			return facts.Endpoint{ID: facts.EndpointID(row.Key), Address: address, Draining: draining}, true
 		},
-		OnDuty: d.sync.OnDuty,
-		Told:   d.sync.Tell,
+		ShouldRead: d.sync.ShouldRead,
+		OnRead:     d.sync.Broadcast,
 	}
 }
--- a/internal/factsync/syncer.go
+++ b/internal/factsync/syncer.go
@@ -52,25 +52,25 @@
 // Syncer keeps one daemon's facts up to date. All fields must be set before it
 // is used. It is safe for concurrent use.
 type Syncer struct {
-	Clock   clockwork.Clock
-	Boot    boottime.Clock
-	Store   *storetime.Clock
-	Holder  *facts.Holder
-	Logger  *slog.Logger
-	Metrics *metric.Registry
+	Clock      clockwork.Clock
+	Boot       boottime.Clock
+	StoreClock *storetime.Clock
+	Holder     *facts.Holder
+	Logger     *slog.Logger
+	Metrics    *metric.Registry
 	// Self returns this host, Hosts all known ones, Staying those of them that
 	// are alive and not leaving.
 	Self           func() membership.Host
 	Hosts, Staying func() *membership.Snapshot
 	// Send sends a beacon to the hosts of the given peer addresses.
 	Send func(addresses []string, b *peerv1.Beacon) error
-	// Ask requests the facts of the daemon at a peer address.
-	Ask func(ctx context.Context, address string, req *peerv1.FactsRequest) (*peerv1.FactsResponse, error)
+	// Fetch requests the facts of the daemon at a peer address.
+	Fetch func(ctx context.Context, address string, req *peerv1.FactsRequest) (*peerv1.FactsResponse, error)
 	// Pick returns a random number below n.
 	Pick func(n int) int
-	// Expected reports whether other hosts are expected to exist, though none is
+	// PeersExpected reports whether other hosts are expected to exist, though none is
 	// known yet.
-	Expected func() bool
+	PeersExpected func() bool
 	// DocumentRate is how many bytes per second of configurations this host sends
 	// to others; zero is no limit.
 	DocumentRate float64
@@ -79,7 +79,7 @@
 
 	mu sync.Mutex
 	// lastReads holds when each host last reported a read of the store, as far as
-	// OnDuty needs it.
+	// ShouldRead needs it.
 	lastReads    map[membership.HostID]time.Duration
 	hostsByHash  hostIndex
 	sources      sources
@@ -117,8 +117,8 @@
 	return max(config, endpoints), known && listed
 }
 
-// OnDuty reports whether this daemon is to read the store.
-func (s *Syncer) OnDuty() bool {
+// ShouldRead reports whether this daemon is to read the store.
+func (s *Syncer) ShouldRead() bool {
 	now := s.Boot.Now()
 	age, known := s.age()
 	if !known {
@@ -130,13 +130,13 @@
 		rank = len(order.Hosts)
 	}
 	switch {
-	case facts.Stale(age) && s.noRecentResponse(now), known && facts.Probes(rank, age):
+	case facts.Stale(age) && s.noRecentResponse(now), known && facts.ShouldProbe(rank, age):
 		return true
 	case !stays || !known && s.discovering():
 		return false
 	}
 	// A new daemon waits for the readers before it reads.
-	return facts.Duty(rank, s.readsAhead(order, rank, now), now-s.started)
+	return facts.ShouldRead(rank, s.readsAhead(order, rank, now), now-s.started)
 }
 
 // noRecentResponse reports whether no other daemon has responded to a request
@@ -157,7 +157,7 @@
 	s.mu.Lock()
 	asking := len(s.sources.inFlight) > 0
 	s.mu.Unlock()
-	return asking || s.Hosts().Len() == 1 && s.Expected()
+	return asking || s.Hosts().Len() == 1 && s.PeersExpected()
 }
 
 // readsAhead returns the time since the last reported read of each host before
@@ -169,7 +169,7 @@
 	for id, at := range s.lastReads {
 		position, ok := order.Position(id)
 		switch {
-		case now-at > facts.Patience(len(order.Hosts)):
+		case now-at > facts.TakeoverDelay(len(order.Hosts)):
 			delete(s.lastReads, id)
 		case ok && position < rank:
 			ago = append(ago, now-at)
@@ -178,13 +178,13 @@
 	return ago
 }
 
-// OnTold processes what any daemon reports of its facts, and requests from it
+// OnReport processes what any daemon reports of its facts, and requests from it
 // what is missing here.
-func (s *Syncer) OnTold(b *peerv1.Beacon) {
+func (s *Syncer) OnReport(b *peerv1.Beacon) {
 	if b == nil {
 		return
 	}
-	s.Holder.OpenGrace(storetime.Instant(b.GetGraceUntil()))
+	s.Holder.ExtendGrace(storetime.Instant(b.GetGraceUntil()))
 	s.Holder.ConfirmConfig(catalog.Version(b.GetConfigVersion()), storetime.Instant(b.GetConfigAsOf()))
 	s.Holder.ConfirmEndpoints(facts.Position(b.GetChanged()), facts.Position(b.GetPosition()), storetime.Instant(b.GetEndpointsAsOf()))
 	n := versions{config: catalog.Version(b.GetConfigVersion()), changed: facts.Position(b.GetChanged())}
@@ -279,7 +279,7 @@
 	defer cancel()
 	sum := s.Holder.Summary()
 	sent := s.Boot.Now()
-	resp, err := s.Ask(ctx, target.address, &peerv1.FactsRequest{
+	resp, err := s.Fetch(ctx, target.address, &peerv1.FactsRequest{
 		ConfigVersion: uint64(sum.Config),
 		Position:      uint64(sum.Position),
 		Address:       s.Self().PeerAddress,
@@ -289,11 +289,11 @@
 	}
 	s.Metrics.Inc("facts.fetched")
 	if resp.GetStoreNow() > 0 {
-		s.Store.Observe(sent, storetime.Instant(resp.GetStoreNow()))
+		s.StoreClock.Observe(sent, storetime.Instant(resp.GetStoreNow()))
 	}
 	d := fromMessage(resp)
 	d.From = target.address
-	if err := s.Holder.Learn(d); err != nil {
+	if err := s.Holder.ApplyDelta(d); err != nil {
 		s.Logger.Error("facts not taken", "from", target.address, "error", err)
 	}
 	s.mu.Lock()
--- a/internal/gateway/facts.go
+++ b/internal/gateway/facts.go
@@ -38,29 +38,29 @@
 	g.storeTime = storetime.NewClock(g.boot)
 	g.holder = facts.NewHolder(g.storeTime, wire.ParseConfig)
 	g.holder.OnChange = g.applyFacts
-	g.holder.OnNews = g.logEndpointChange
+	g.holder.OnEndpointChange = g.logEndpointChange
 	g.holder.OnEra = g.onNewEra
 	g.sync = &factsync.Syncer{
-		Clock:        g.clock,
-		Boot:         g.boot,
-		Store:        g.storeTime,
-		Holder:       g.holder,
-		Logger:       g.logger,
-		Metrics:      g.metrics,
-		Self:         g.view.Self,
-		Hosts:        g.view.Hosts,
-		Staying:      g.view.Staying,
-		Send:         func(addresses []string, b *peerv1.Beacon) error { return g.beacons.Send(addresses, b) },
-		Ask:          g.requestFacts,
-		Pick:         rand.IntN,
-		Expected:     g.expectsHosts,
-		DocumentRate: documentRate(g.conf().Gateway.Machine),
+		Clock:         g.clock,
+		Boot:          g.boot,
+		StoreClock:    g.storeTime,
+		Holder:        g.holder,
+		Logger:        g.logger,
+		Metrics:       g.metrics,
+		Self:          g.view.Self,
+		Hosts:         g.view.Hosts,
+		Staying:       g.view.Staying,
+		Send:          func(addresses []string, b *peerv1.Beacon) error { return g.beacons.Send(addresses, b) },
+		Fetch:         g.requestFacts,
+		Pick:          rand.IntN,
+		PeersExpected: g.expectsHosts,
+		DocumentRate:  documentRate(g.conf().Gateway.Machine),
 	}
 	g.sync.Start()
 	g.reader = &facts.Reader{
 		Clock:          g.clock,
 		Boot:           g.boot,
-		Store:          g.storeTime,
+		StoreClock:     g.storeTime,
 		Holder:         g.holder,
 		Logger:         g.logger,
 		Metrics:        g.metrics,
@@ -68,8 +68,8 @@
 		Endpoints:      wire.EngineFeed(g.store),
 		DecodeConfig:   wire.DecodeConfig,
 		DecodeEndpoint: wire.DecodeEngine,
-		OnDuty:         g.sync.OnDuty,
-		Told:           g.sync.Tell,
+		ShouldRead:     g.sync.ShouldRead,
+		OnRead:         g.sync.Broadcast,
 	}
 }
 
--- a/internal/gateway/fleet_bench_test.go
+++ b/internal/gateway/fleet_bench_test.go
@@ -90,7 +90,7 @@
 	if err := g.holder.SetConfig(facts.Config{Version: 1, Data: data}, fleetTime); err != nil {
 		tb.Fatal(err)
 	}
-	news := facts.News{Whole: true, Position: fleetPosition, AsOf: fleetTime}
+	news := facts.EndpointUpdate{Whole: true, Position: fleetPosition, AsOf: fleetTime}
 	for i := range endpoints {
 		news.Endpoints = append(news.Endpoints, facts.Endpoint{
 			ID: facts.EndpointID(fmt.Sprintf("i-%06d", i)), Pool: "llm", Address: fmt.Sprintf("10.1.%d.%d:80", i/256, i%256),
@@ -125,7 +125,7 @@
 func BenchmarkOnDuty(b *testing.B) {
 	benchFleets(b, func(b *testing.B, g *Gateway) {
 		for b.Loop() {
-			g.sync.OnDuty()
+			g.sync.ShouldRead()
 		}
 	})
 }
@@ -183,7 +183,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				position++
-				g.holder.Merge(facts.News{Position: position, AsOf: fleetTime, Endpoints: []facts.Endpoint{{
+				g.holder.Merge(facts.EndpointUpdate{Position: position, AsOf: fleetTime, Endpoints: []facts.Endpoint{{
 					ID: "i-000007", Pool: "llm", Address: "10.1.0.7:80", Zone: "z1", Slots: 12, Born: 1, Draining: position%2 == 0, Changed: position,
 				}}})
 			}
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -32,7 +32,7 @@
 func TestCostsDoNotGrowWithFleetSize(t *testing.T) {
 	work := map[string]func(g *Gateway){
 		"idle tick":       func(g *Gateway) { g.tickOnce(context.Background()) },
-		"reader duty":     func(g *Gateway) { g.sync.OnDuty() },
+		"reader duty":     func(g *Gateway) { g.sync.ShouldRead() },
 		"beacon":          func(g *Gateway) { g.sync.OnBeacon(g.sync.Beacon()) },
 		"addresses":       func(g *Gateway) { g.addresses("z0", "10.9.0.1:1") },
 		"retry budget":    func(g *Gateway) { g.retryBudget("llm") },
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -239,7 +239,7 @@
 	s := newTestSite(t, 4)
 	var refused []string
 	for _, d := range s.daemons {
-		if d.g.sync.OnDuty() {
+		if d.g.sync.ShouldRead() {
 			refused = append(refused, d.ip)
 		}
 	}
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -42,7 +42,7 @@
 		Replace:  g.peers.Replace,
 		Heard:    func(membership.News, time.Time, time.Duration) {},
 		Facts:    g.sync.Beacon,
-		OnFacts:  g.sync.OnTold,
+		OnFacts:  g.sync.OnReport,
 		Suspects: g.suspects,
 		StoreAge: func() time.Duration { return 0 },
 		Seeds:    g.seeds,
