--- a/internal/cell/ranking.go
+++ b/internal/cell/ranking.go
@@ -43,9 +43,9 @@
 		return ranked
 	}
 	ranked := membership.Rank(string(id), r.hosts.All())
-	most := membership.MostCapacity(ranked)
+	most := membership.MaxCapacity(ranked)
 	slices.SortStableFunc(ranked, func(a, b membership.Host) int {
-		return cmp.Or(outsideRegion(a, region)-outsideRegion(b, region), a.Weakness(most)-b.Weakness(most))
+		return cmp.Or(outsideRegion(a, region)-outsideRegion(b, region), a.CapacityRank(most)-b.CapacityRank(most))
 	})
 	r.ranks[id] = ranked
 	return ranked
--- a/internal/cellhost/cellhost.go
+++ b/internal/cellhost/cellhost.go
@@ -58,7 +58,7 @@
 	if host.ID == self.ID {
 		return h.loopback(hello, handle)
 	}
-	client, closeConnection := h.Peers.Fresh(host.PeerAddress)
+	client, closeConnection := h.Peers.UnpooledClient(host.PeerAddress)
 	s := client.Reservations(context.Background(), hello, handle)
 	go func() {
 		<-s.Done()
@@ -76,7 +76,7 @@
 		h.awaitTick(context.Background())
 		session.Handle(req)
 	}
-	q := peer.NewQueue(handleAfterTick, session.Close)
+	q := peer.NewLocalStream(handleAfterTick, session.Close)
 	return placement.Link{Send: q.Send, Done: q.Done(), Close: q.Close}
 }
 
@@ -113,7 +113,7 @@
 		return false
 	}
 	h.Metrics.Inc("hosts.paused")
-	h.View.Forgive()
+	h.View.RestartSuspicion()
 	h.RefreshView(ctx)
 	return true
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -193,7 +193,7 @@
 func (d *Daemon) hostGone(h membership.Host) {
 	d.logger.Warn("host gone", "gone", h.ID)
 	d.metrics.Inc("hosts.gone")
-	d.peers.Replace(h.PeerAddress)
+	d.peers.CloseConnections(h.PeerAddress)
 	d.peerHandler.DropStreams(string(h.ID), h.Incarnation)
 	d.coordinator.DropHost(string(h.ID), h.Incarnation)
 }
@@ -311,12 +311,12 @@
 
 func (d *Daemon) peerServer() *peer.Server {
 	return &peer.Server{
-		Welcome:      d.welcome,
-		Attach:       d.cells.Attach,
-		OnHeartbeat:  d.heartbeats.Answer,
-		OnPushTable:  d.onPushTable,
-		OnFetchTable: d.onFetchTable,
-		OnAcquire:    d.onAcquireSlices,
-		OnStatus:     d.onStatus,
+		Welcome:         d.welcome,
+		Attach:          d.cells.Attach,
+		OnHeartbeat:     d.heartbeats.HandleHeartbeat,
+		OnPushTable:     d.onPushTable,
+		OnFetchTable:    d.onFetchTable,
+		OnAcquireSlices: d.onAcquireSlices,
+		OnStatus:        d.onStatus,
 	}
 }
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -41,13 +41,13 @@
 		Call: func(ctx context.Context, address string, req *peerv1.HeartbeatRequest) (*peerv1.HeartbeatResponse, error) {
 			return d.peers.Client(address).Heartbeat(ctx, req)
 		},
-		Replace:  d.peers.Replace,
-		Heard:    d.handleHeartbeat,
-		StoreAge: d.keeper.StoreAge,
-		Seeds:    d.seeds,
-		Load:     func() uint32 { return uint32(d.callerHandler.InProgress()) },
-		Count:    d.metrics.Inc,
-		Suspects: d.suspects,
+		CloseConnections: d.peers.CloseConnections,
+		OnResponse:       d.handleHeartbeat,
+		StoreAge:         d.keeper.StoreAge,
+		Seeds:            d.seeds,
+		Load:             func() uint32 { return uint32(d.callerHandler.InProgress()) },
+		Count:            d.metrics.Inc,
+		Quarantine:       d.suspects,
 	}
 }
 
@@ -58,7 +58,7 @@
 
 // handleHeartbeat processes the state that a daemon reported in its response to
 // a heartbeat.
-func (d *Daemon) handleHeartbeat(n membership.News, sent time.Time, storeAge time.Duration) {
+func (d *Daemon) handleHeartbeat(n membership.Update, sent time.Time, storeAge time.Duration) {
 	if n.Host.TableVersion == 0 || n.Status != membership.Alive {
 		return
 	}
--- a/internal/factsync/sim_test.go
+++ b/internal/factsync/sim_test.go
@@ -247,21 +247,21 @@
 	d.sync = &Syncer{
 		Clock: clock, Boot: s.clock, StoreClock: storeTime, Holder: d.holder,
 		Logger: slog.New(slog.DiscardHandler), Metrics: metric.NewRegistry(),
-		Self: d.view.Self, Hosts: d.view.Hosts, Staying: d.view.Staying,
+		Self: d.view.Self, Hosts: d.view.Hosts, Staying: d.view.Active,
 		Send: d.send, Fetch: d.ask, Pick: s.pick, PeersExpected: func() bool { return true },
 		DocumentRate: configLinkShare * s.link(id),
 	}
 	d.sync.Start()
 	d.heartbeats = &heartbeat.Exchanger{
 		Clock: clock, View: d.view, Count: func(string) {}, Call: d.heartbeat,
-		Replace:  func(string) {},
-		Heard:    func(membership.News, time.Time, time.Duration) {},
-		StoreAge: func() time.Duration { return 0 },
-		Facts:    d.sync.Beacon, OnFacts: func(b *peerv1.Beacon) { d.sync.OnReport(d.received(b)) },
+		CloseConnections: func(string) {},
+		OnResponse:       func(membership.Update, time.Time, time.Duration) {},
+		StoreAge:         func() time.Duration { return 0 },
+		Facts:            d.sync.Beacon, OnFacts: func(b *peerv1.Beacon) { d.sync.OnReport(d.received(b)) },
 		Seeds: func() []string { return []string{"0", "1", "2"} },
 		Load:  func() uint32 { return 0 },
 
-		Suspects: quarantine.NewList(clock),
+		Quarantine: quarantine.NewList(clock),
 	}
 	return d
 }
--- a/internal/factsync/simnet_test.go
+++ b/internal/factsync/simnet_test.go
@@ -97,5 +97,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return to.heartbeats.Answer(req), nil
+	return to.heartbeats.HandleHeartbeat(req), nil
 }
--- a/internal/factsync/suspects_test.go
+++ b/internal/factsync/suspects_test.go
@@ -47,7 +47,7 @@
 	go paused.pause(suspectsBound)
 	for i := 0; i < 3; {
 		if d := s.daemon(s.pick(n)); d != paused {
-			d.heartbeats.Suspects.RecordTermination(f, table.EndpointName(fmt.Sprint("engine-", i)))
+			d.heartbeats.Quarantine.RecordTermination(f, table.EndpointName(fmt.Sprint("engine-", i)))
 			i++
 		}
 	}
@@ -68,7 +68,7 @@
 
 func (s *simSite) allQuarantined(f quarantine.Fingerprint, except *simDaemon) bool {
 	for i := range s.daemons {
-		if d := s.daemon(i); d != except && !d.heartbeats.Suspects.IsQuarantined(f) {
+		if d := s.daemon(i); d != except && !d.heartbeats.Quarantine.IsQuarantined(f) {
 			return false
 		}
 	}
--- a/internal/factsync/syncer.go
+++ b/internal/factsync/syncer.go
@@ -124,7 +124,7 @@
 	if !known {
 		age = now - s.started
 	}
-	order := s.Staying().CapableOrder(readerKey)
+	order := s.Staying().HighCapacityOrder(readerKey)
 	rank, stays := order.Position(s.Self().ID)
 	if !stays {
 		rank = len(order.Hosts)
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -158,7 +158,7 @@
 	clock := clockwork.NewRealClock()
 	view := membership.NewView(clock, membership.Host{ID: "a", Incarnation: 1, State: membership.Ready})
 	dial := func(_ membership.Host, handle func(*peerv1.ReservationsResponse)) placement.Link {
-		q := peer.NewQueue(func(req *peerv1.ReservationsRequest) {
+		q := peer.NewLocalStream(func(req *peerv1.ReservationsRequest) {
 			resp := &peerv1.ReservationsResponse{Acked: req.GetBatch()}
 			for _, r := range req.GetReserves() {
 				resp.Grants = append(resp.Grants, &peerv1.Grant{Sequence: r.GetSequence(), Endpoint: s.take()})
--- a/internal/gateway/directory.go
+++ b/internal/gateway/directory.go
@@ -76,7 +76,7 @@
 		candidates = ready
 	}
 	var addresses []string
-	for _, h := range candidates.Spread(callerHost(caller), maxAddresses) {
+	for _, h := range candidates.SampleByCapacity(callerHost(caller), maxAddresses) {
 		addresses = append(addresses, h.CallerAddress)
 	}
 	return addresses
--- a/internal/gateway/fleet_bench_test.go
+++ b/internal/gateway/fleet_bench_test.go
@@ -41,7 +41,7 @@
 		},
 	}, slog.New(slog.DiscardHandler))
 	for i := 1; i < hosts; i++ {
-		g.view.Apply(membership.News{Status: membership.Alive, Host: fleetHost(i)})
+		g.view.Apply(membership.Update{Status: membership.Alive, Host: fleetHost(i)})
 	}
 	for len(g.view.TakeChanges(hosts)) > 0 {
 	}
@@ -72,7 +72,7 @@
 }
 
 func fleetReaders(g *Gateway) (readers []membership.HostID) {
-	for _, h := range g.view.Staying().CapableOrder("reader").Hosts[:facts.Readers] {
+	for _, h := range g.view.Active().HighCapacityOrder("reader").Hosts[:facts.Readers] {
 		readers = append(readers, h.ID)
 	}
 	return readers
@@ -169,7 +169,7 @@
 func BenchmarkHeartbeat(b *testing.B) {
 	benchFleets(b, func(b *testing.B, g *Gateway) {
 		for b.Loop() {
-			g.heartbeats.Answer(fleetHeartbeat())
+			g.heartbeats.HandleHeartbeat(fleetHeartbeat())
 		}
 	})
 }
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -36,7 +36,7 @@
 		"beacon":          func(g *Gateway) { g.sync.OnBeacon(g.sync.Beacon()) },
 		"addresses":       func(g *Gateway) { g.addresses("z0", "10.9.0.1:1") },
 		"retry budget":    func(g *Gateway) { g.retryBudget("llm") },
-		"heartbeat":       func(g *Gateway) { g.heartbeats.Answer(fleetHeartbeat()) },
+		"heartbeat":       func(g *Gateway) { g.heartbeats.HandleHeartbeat(fleetHeartbeat()) },
 		"usable":          func(g *Gateway) { g.holder.Endpoint("i-000001") },
 		"readiness check": func(g *Gateway) { g.acceptsCallers() },
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -206,7 +206,7 @@
 func (g *Gateway) onHostGone(h membership.Host) {
 	g.logger.Warn("host gone", "gone", h.ID)
 	g.metrics.Inc("hosts.gone")
-	g.peers.Replace(h.PeerAddress)
+	g.peers.CloseConnections(h.PeerAddress)
 	g.peerServer.DropStreams(string(h.ID), h.Incarnation)
 	g.coordinator.DropHost(string(h.ID), h.Incarnation)
 }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -39,14 +39,14 @@
 		Call: func(ctx context.Context, address string, req *peerv1.HeartbeatRequest) (*peerv1.HeartbeatResponse, error) {
 			return g.peers.Client(address).Heartbeat(ctx, req)
 		},
-		Replace:  g.peers.Replace,
-		Heard:    func(membership.News, time.Time, time.Duration) {},
-		Facts:    g.sync.Beacon,
-		OnFacts:  g.sync.OnReport,
-		Suspects: g.suspects,
-		StoreAge: func() time.Duration { return 0 },
-		Seeds:    g.seeds,
-		Count:    g.metrics.Inc,
+		CloseConnections: g.peers.CloseConnections,
+		OnResponse:       func(membership.Update, time.Time, time.Duration) {},
+		Facts:            g.sync.Beacon,
+		OnFacts:          g.sync.OnReport,
+		Quarantine:       g.suspects,
+		StoreAge:         func() time.Duration { return 0 },
+		Seeds:            g.seeds,
+		Count:            g.metrics.Inc,
 	}
 }
 
@@ -57,7 +57,7 @@
 			return &peerv1.Welcome{Host: string(self.ID), Incarnation: self.Incarnation}
 		},
 		Attach:      g.cells.Attach,
-		OnHeartbeat: g.heartbeats.Answer,
+		OnHeartbeat: g.heartbeats.HandleHeartbeat,
 		OnFacts:     g.sync.Answer,
 	}
 }
--- a/internal/heartbeat/detection_bench_test.go
+++ b/internal/heartbeat/detection_bench_test.go
@@ -46,8 +46,8 @@
 		}
 		l.views[i] = v
 		exchangers[i] = &heartbeat.Exchanger{
-			Clock: clock, View: v, Count: func(string) {}, Replace: func(string) {}, Load: func() uint32 { return 0 },
-			Heard: func(membership.News, time.Time, time.Duration) {}, StoreAge: func() time.Duration { return 0 }, Seeds: func() []string { return nil },
+			Clock: clock, View: v, Count: func(string) {}, CloseConnections: func(string) {}, Load: func() uint32 { return 0 },
+			OnResponse: func(membership.Update, time.Time, time.Duration) {}, StoreAge: func() time.Duration { return 0 }, Seeds: func() []string { return nil },
 			Call: func(ctx context.Context, address string, req *peerv1.HeartbeatRequest) (*peerv1.HeartbeatResponse, error) {
 				var to int
 				_, _ = fmt.Sscanf(address, "host-%d", &to)
@@ -56,7 +56,7 @@
 					return nil, ctx.Err()
 				}
 				time.Sleep(oneWayDelay)
-				resp := exchangers[to].Answer(req)
+				resp := exchangers[to].HandleHeartbeat(req)
 				time.Sleep(oneWayDelay)
 				return resp, nil
 			},
@@ -64,7 +64,7 @@
 	}
 	for _, v := range l.views {
 		for _, other := range l.views {
-			v.Apply(other.SelfNews())
+			v.Apply(other.SelfUpdate())
 		}
 		for len(v.TakeChanges(hosts)) > 0 {
 		}
--- a/internal/heartbeat/exchanger.go
+++ b/internal/heartbeat/exchanger.go
@@ -54,12 +54,12 @@
 	View  *membership.View
 	// Call sends a heartbeat to the daemon at a peer address.
 	Call func(ctx context.Context, address string, req *peerv1.HeartbeatRequest) (*peerv1.HeartbeatResponse, error)
-	// Replace closes the connections to a peer address, so that the next call
-	// opens a new one.
-	Replace func(address string)
-	// Heard is called with the state of a daemon that responded, and with the
+	// CloseConnections closes the connections to a peer address, so that the next
+	// call opens a new one.
+	CloseConnections func(address string)
+	// OnResponse is called with the state of a daemon that responded, and with the
 	// time at which the request was sent. It must not block.
-	Heard func(peer membership.News, sent time.Time, storeAge time.Duration)
+	OnResponse func(peer membership.Update, sent time.Time, storeAge time.Duration)
 	// StoreAge returns how long ago this daemon, or one from which it got a
 	// heartbeat, last read the store.
 	StoreAge func() time.Duration
@@ -67,9 +67,9 @@
 	// those of a partner. Both are nil where daemons keep no facts.
 	Facts   func() *peerv1.Beacon
 	OnFacts func(*peerv1.Beacon)
-	// Suspects has the requests during which endpoints have terminated; it is
+	// Quarantine has the requests during which endpoints have terminated; it is
 	// nil where daemons don't quarantine requests.
-	Suspects *quarantine.List
+	Quarantine *quarantine.List
 	// Seeds returns the peer addresses from the platform or the settings.
 	Seeds func() []string
 	// Load returns the number of requests in progress; it is nil where daemons
@@ -101,7 +101,7 @@
 			x.probeHosts(ctx, seedsPerRound)
 		} else {
 			aloneRounds = 0
-			go x.Beat(ctx, partners[turn%len(partners)])
+			go x.SendHeartbeat(ctx, partners[turn%len(partners)])
 		}
 		select {
 		case <-ctx.Done():
@@ -142,7 +142,7 @@
 // sendToAll sends a heartbeat with urgent updates to every partner at once.
 func (x *Exchanger) sendToAll(ctx context.Context) {
 	for _, h := range x.View.Partners() {
-		go x.Beat(ctx, h)
+		go x.SendHeartbeat(ctx, h)
 	}
 }
 
@@ -151,7 +151,7 @@
 func (x *Exchanger) Refresh(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, h := range x.View.Partners() {
-		wg.Go(func() { x.Beat(ctx, h) })
+		wg.Go(func() { x.SendHeartbeat(ctx, h) })
 	}
 	wg.Wait()
 }
@@ -163,7 +163,7 @@
 	addresses := x.probeCandidates()
 	rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
 	for _, address := range addresses[:min(n, len(addresses))] {
-		go x.Try(ctx, address)
+		go x.Probe(ctx, address)
 	}
 }
 
@@ -172,7 +172,7 @@
 func (x *Exchanger) probeCandidates() []string {
 	known := x.View.Hosts()
 	candidates := x.Seeds()
-	for _, h := range x.View.Unreached().All() {
+	for _, h := range x.View.Gone().All() {
 		candidates = append(candidates, h.PeerAddress)
 	}
 	seen := map[string]bool{"": true}
@@ -186,24 +186,24 @@
 	return addresses
 }
 
-// Try sends a heartbeat to a daemon that may not be running.
-func (x *Exchanger) Try(ctx context.Context, address string) {
+// Probe sends a heartbeat to a daemon that may not be running.
+func (x *Exchanger) Probe(ctx context.Context, address string) {
 	if !x.startHeartbeat(address) {
 		return
 	}
 	defer x.finishHeartbeat(address)
 	if _, err := x.exchange(ctx, address, probeTimeout, true); err != nil {
-		x.Replace(address)
+		x.CloseConnections(address)
 	}
 }
 
-// Beat exchanges one heartbeat with a host.
+// SendHeartbeat exchanges one heartbeat with a host.
 //
 // When a router or firewall loses the state of a connection, the connection
 // delivers nothing any more, while new ones work: heartbeats on it time out
 // although the host is healthy. So the connection is replaced first, and a host is
 // suspected only if it does not respond on a new one either.
-func (x *Exchanger) Beat(ctx context.Context, h membership.Host) {
+func (x *Exchanger) SendHeartbeat(ctx context.Context, h membership.Host) {
 	if !x.startHeartbeat(h.PeerAddress) {
 		return
 	}
@@ -212,7 +212,7 @@
 	resp, err := x.exchange(ctx, h.PeerAddress, Timeout, full)
 	if err != nil && ctx.Err() == nil {
 		x.Count("heartbeat.failed")
-		x.Replace(h.PeerAddress)
+		x.CloseConnections(h.PeerAddress)
 		if resp, err = x.exchange(ctx, h.PeerAddress, Timeout, full); err == nil {
 			x.Count("heartbeat.connectionReplaced")
 		}
@@ -231,7 +231,7 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	req := &peerv1.HeartbeatRequest{
-		Self:       toInfo(x.View.SelfNews()),
+		Self:       toInfo(x.View.SelfUpdate()),
 		Changes:    x.changes(full),
 		Full:       full,
 		Digest:     x.View.Digest(),
@@ -249,23 +249,23 @@
 	x.applySuspects(resp.GetSuspects())
 	x.apply(resp.GetSelf(), resp.GetChanges(), digests{resp.GetDigest(), resp.GetSuspectsDigest()})
 	x.applyFacts(resp.GetFacts())
-	x.Heard(fromInfo(resp.GetSelf()), sent, time.Duration(resp.GetStoreAgeMs())*time.Millisecond)
+	x.OnResponse(fromInfo(resp.GetSelf()), sent, time.Duration(resp.GetStoreAgeMs())*time.Millisecond)
 	return resp, nil
 }
 
-// Answer applies a heartbeat and returns the response.
-func (x *Exchanger) Answer(req *peerv1.HeartbeatRequest) *peerv1.HeartbeatResponse {
+// HandleHeartbeat applies a heartbeat and returns the response.
+func (x *Exchanger) HandleHeartbeat(req *peerv1.HeartbeatRequest) *peerv1.HeartbeatResponse {
 	x.applySuspects(req.GetSuspects())
 	x.apply(req.GetSelf(), req.GetChanges(), digests{req.GetDigest(), req.GetSuspectsDigest()})
 	x.applyFacts(req.GetFacts())
 	changes := x.changes(req.GetFull())
 	// A host that is known as gone is nobody's partner, and the update has
 	// already been sent. Unless the host gets it here, it can't refute it.
-	if n, ok := x.View.Doubts(fromInfo(req.GetSelf()).Host); ok {
+	if n, ok := x.View.SuspectOrGone(fromInfo(req.GetSelf()).Host); ok {
 		changes = append(changes, toInfo(n))
 	}
 	return &peerv1.HeartbeatResponse{
-		Self:       toInfo(x.View.SelfNews()),
+		Self:       toInfo(x.View.SelfUpdate()),
 		Changes:    changes,
 		Digest:     x.View.Digest(),
 		StoreAgeMs: milliseconds(x.StoreAge()),
@@ -312,7 +312,7 @@
 	for _, i := range changes {
 		x.View.Apply(fromInfo(i))
 	}
-	x.View.ObserveNews(fromInfo(self))
+	x.View.ObserveUpdate(fromInfo(self))
 	x.compareDigests(membership.HostID(self.GetHost()), theirs)
 }
 
--- a/internal/heartbeat/exchanger_test.go
+++ b/internal/heartbeat/exchanger_test.go
@@ -131,12 +131,12 @@
 		Call: func(_ context.Context, address string, req *peerv1.HeartbeatRequest) (*peerv1.HeartbeatResponse, error) {
 			return n.call(nd, address, req)
 		},
-		Replace:  func(address string) { delete(n.silent, [2]string{name(i), address}) },
-		Heard:    func(membership.News, time.Time, time.Duration) {},
-		StoreAge: func() time.Duration { return 0 },
-		Seeds:    func() []string { return []string{name(0), name(1), name(2)} },
-		Load:     func() uint32 { return 0 },
-		Suspects: quarantine.NewList(n.clock),
+		CloseConnections: func(address string) { delete(n.silent, [2]string{name(i), address}) },
+		OnResponse:       func(membership.Update, time.Time, time.Duration) {},
+		StoreAge:         func() time.Duration { return 0 },
+		Seeds:            func() []string { return []string{name(0), name(1), name(2)} },
+		Load:             func() uint32 { return 0 },
+		Quarantine:       quarantine.NewList(n.clock),
 	}
 	return nd
 }
@@ -161,7 +161,7 @@
 		n.drop[address]--
 		return nil, errNoResponse
 	}
-	return to.x.Answer(req), nil
+	return to.x.HandleHeartbeat(req), nil
 }
 
 func (n *network) running() []*node {
@@ -192,7 +192,7 @@
 			select {
 			case <-nd.view.Wake:
 				n.beat(nd)
-			case <-nd.x.Suspects.Wake():
+			case <-nd.x.Quarantine.Wake():
 				n.beat(nd)
 			default:
 			}
@@ -205,7 +205,7 @@
 		return
 	}
 	for _, h := range nd.view.Partners() {
-		nd.x.Beat(context.Background(), h)
+		nd.x.SendHeartbeat(context.Background(), h)
 	}
 }
 
@@ -215,7 +215,7 @@
 	}
 	for _, i := range s.Restart {
 		n.nodes[i] = n.newNode(i)
-		n.nodes[i].x.Try(context.Background(), name((i+1)%3))
+		n.nodes[i].x.Probe(context.Background(), name((i+1)%3))
 	}
 	for _, i := range s.Leave {
 		n.nodes[i].view.UpdateSelf(func(h *membership.Host) { h.State = membership.Leaving })
@@ -230,7 +230,7 @@
 	}
 	for _, i := range s.Thaw {
 		n.nodes[i].frozen = false
-		n.nodes[i].view.Forgive()
+		n.nodes[i].view.RestartSuspicion()
 	}
 	for _, pair := range s.Silence {
 		n.silent[[2]string{name(pair[0]), name(pair[1])}] = true
@@ -242,10 +242,10 @@
 		n.cut[i] = true
 	}
 	for _, e := range s.Terminated {
-		n.nodes[e[0]].x.Suspects.RecordTermination(quarantine.Fingerprint(e[1]), table.EndpointName(fmt.Sprintf("engine-%d", e[2])))
+		n.nodes[e[0]].x.Quarantine.RecordTermination(quarantine.Fingerprint(e[1]), table.EndpointName(fmt.Sprintf("engine-%d", e[2])))
 	}
 	for _, e := range s.Completed {
-		n.nodes[e[0]].x.Suspects.RecordCompletion(quarantine.Fingerprint(e[1]))
+		n.nodes[e[0]].x.Quarantine.RecordCompletion(quarantine.Fingerprint(e[1]))
 	}
 	if len(s.Terminated)+len(s.Completed) > 0 {
 		n.sendUrgent()
@@ -269,10 +269,10 @@
 func (n *network) probe() {
 	for _, nd := range n.running() {
 		if nd.view.Hosts().Len() == 1 {
-			nd.x.Try(context.Background(), name(0))
+			nd.x.Probe(context.Background(), name(0))
 		}
-		if gone := nd.view.Unreached().All(); len(gone) > 0 {
-			nd.x.Try(context.Background(), gone[0].PeerAddress)
+		if gone := nd.view.Gone().All(); len(gone) > 0 {
+			nd.x.Probe(context.Background(), gone[0].PeerAddress)
 		}
 	}
 }
@@ -293,12 +293,12 @@
 			n.t.Errorf("%s: minority is %v, want %v", name(nd.number), got, *e.Minority)
 		}
 		for _, f := range e.Quarantined {
-			if !nd.x.Suspects.IsQuarantined(quarantine.Fingerprint(f)) {
+			if !nd.x.Quarantine.IsQuarantined(quarantine.Fingerprint(f)) {
 				n.t.Errorf("request %[2]d is not quarantined at %[1]s", name(nd.number), f)
 			}
 		}
 		for _, f := range e.NotQuarantined {
-			if nd.x.Suspects.IsQuarantined(quarantine.Fingerprint(f)) {
+			if nd.x.Quarantine.IsQuarantined(quarantine.Fingerprint(f)) {
 				n.t.Errorf("request %[2]d is quarantined at %[1]s", name(nd.number), f)
 			}
 		}
@@ -324,7 +324,7 @@
 func (n *network) introduce() {
 	for _, nd := range n.nodes {
 		for _, other := range n.nodes {
-			nd.view.Apply(other.view.SelfNews())
+			nd.view.Apply(other.view.SelfUpdate())
 		}
 		for len(nd.view.TakeChanges(len(n.nodes))) > 0 {
 		}
--- a/internal/heartbeat/info.go
+++ b/internal/heartbeat/info.go
@@ -8,7 +8,7 @@
 	"github.com/beechhead/beechhead/internal/peer/peerv1"
 )
 
-func toInfo(n membership.News) *peerv1.HostInfo {
+func toInfo(n membership.Update) *peerv1.HostInfo {
 	h := n.Host
 	return &peerv1.HostInfo{
 		Host:          string(h.ID),
@@ -26,8 +26,8 @@
 	}
 }
 
-func fromInfo(i *peerv1.HostInfo) membership.News {
-	return membership.News{
+func fromInfo(i *peerv1.HostInfo) membership.Update {
+	return membership.Update{
 		Status: membership.Status(i.GetStatus()),
 		Host: membership.Host{
 			ID:            membership.HostID(i.GetHost()),
--- a/internal/heartbeat/seeds_test.go
+++ b/internal/heartbeat/seeds_test.go
@@ -27,7 +27,7 @@
 				calls.Add(1)
 				return nil, errors.New("refused")
 			},
-			Replace: func(string) {}, Count: func(string) {}, StoreAge: func() time.Duration { return 0 },
+			CloseConnections: func(string) {}, Count: func(string) {}, StoreAge: func() time.Duration { return 0 },
 			Seeds: func() []string { return []string{"b"} },
 		}
 		ctx, stop := context.WithCancel(context.Background())
--- a/internal/heartbeat/suspects.go
+++ b/internal/heartbeat/suspects.go
@@ -10,21 +10,21 @@
 // suspectsWake returns the channel that signals urgent updates of suspect requests.
 // It is nil where daemons don't quarantine requests.
 func (x *Exchanger) suspectsWake() <-chan struct{} {
-	if x.Suspects == nil {
+	if x.Quarantine == nil {
 		return nil
 	}
-	return x.Suspects.Wake()
+	return x.Quarantine.Wake()
 }
 
 // suspects returns the updates of suspect requests for one message: all if full is
 // set, else recent ones.
 func (x *Exchanger) suspects(full bool) []*peerv1.Suspect {
-	if x.Suspects == nil {
+	if x.Quarantine == nil {
 		return nil
 	}
-	updates := x.Suspects.TakeUpdates(maxSuspects)
+	updates := x.Quarantine.TakeUpdates(maxSuspects)
 	if full {
-		updates = x.Suspects.All()
+		updates = x.Quarantine.All()
 	}
 	suspects := make([]*peerv1.Suspect, 0, len(updates))
 	for _, n := range updates {
@@ -34,18 +34,18 @@
 }
 
 func (x *Exchanger) suspectsDigest() uint64 {
-	if x.Suspects == nil {
+	if x.Quarantine == nil {
 		return 0
 	}
-	return x.Suspects.Digest()
+	return x.Quarantine.Digest()
 }
 
 func (x *Exchanger) applySuspects(suspects []*peerv1.Suspect) {
-	if x.Suspects == nil {
+	if x.Quarantine == nil {
 		return
 	}
 	for _, s := range suspects {
-		x.Suspects.Apply(fromSuspect(s))
+		x.Quarantine.Apply(fromSuspect(s))
 	}
 }
 
--- a/internal/membership/capacity_test.go
+++ b/internal/membership/capacity_test.go
@@ -9,7 +9,7 @@
 func TestHighCapacityHostsComeFirst(t *testing.T) {
 	ranked := []Host{{ID: "narrow", Capacity: 10}, {ID: "unknown"}, {ID: "wide", Capacity: 200}, {ID: "half", Capacity: 100}}
 	want := []HostID{"wide", "half", "narrow", "unknown"}
-	for i, h := range CapableFirst(ranked) {
+	for i, h := range HighCapacityFirst(ranked) {
 		if h.ID != want[i] {
 			t.Errorf("position %[2]d has %[1]s, want %[3]s", h.ID, i, want[i])
 		}
@@ -23,7 +23,7 @@
 func TestHostsOfEqualCapacityKeepTheirOrder(t *testing.T) {
 	for _, capacity := range []uint32{0, 50} {
 		ranked := []Host{{ID: "c", Capacity: capacity}, {ID: "a", Capacity: capacity}, {ID: "b", Capacity: capacity}}
-		for i, h := range CapableFirst(ranked) {
+		for i, h := range HighCapacityFirst(ranked) {
 			if h.ID != ranked[i].ID {
 				t.Errorf("capacity %d: %s moved to position %d", capacity, h.ID, i)
 			}
--- a/internal/membership/changes.go
+++ b/internal/membership/changes.go
@@ -55,10 +55,10 @@
 }
 
 // TakeChanges returns up to n updates to send in one message.
-func (v *View) TakeChanges(n int) []News {
+func (v *View) TakeChanges(n int) []Update {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	var updates []News
+	var updates []Update
 	for _, id := range v.changes.take(n) {
 		if e := v.hosts[id]; e != nil {
 			updates = append(updates, e.update)
@@ -67,23 +67,23 @@
 	return updates
 }
 
-// Doubts returns the update of a host, and true, if its given incarnation is
+// SuspectOrGone returns the update of a host, and true, if its given incarnation is
 // known as suspect or gone.
-func (v *View) Doubts(h Host) (News, bool) {
+func (v *View) SuspectOrGone(h Host) (Update, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	e := v.hosts[h.ID]
 	if e == nil || e.update.Status == Alive || e.update.Host.Incarnation != h.Incarnation {
-		return News{}, false
+		return Update{}, false
 	}
 	return e.update, true
 }
 
 // All returns an update of every host except this daemon's own.
-func (v *View) All() []News {
+func (v *View) All() []Update {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	updates := make([]News, 0, len(v.hosts))
+	updates := make([]Update, 0, len(v.hosts))
 	for _, e := range v.hosts {
 		updates = append(updates, e.update)
 	}
--- a/internal/membership/host.go
+++ b/internal/membership/host.go
@@ -81,14 +81,14 @@
 	return "unknown"
 }
 
-// News is an update of one host's state, as daemons exchange it.
-type News struct {
+// Update is one host's state as daemons exchange it.
+type Update struct {
 	Host   Host
 	Status Status
 }
 
 // supersedes reports whether the update is newer than the known one.
-func (n News) supersedes(known News) bool {
+func (n Update) supersedes(known Update) bool {
 	switch {
 	case n.Host.Incarnation != known.Host.Incarnation:
 		return n.Host.Incarnation > known.Host.Incarnation
--- a/internal/membership/hosts.go
+++ b/internal/membership/hosts.go
@@ -21,18 +21,18 @@
 	return v.ready
 }
 
-// Staying returns the hosts that are alive and not leaving: those that are ready
+// Active returns the hosts that are alive and not leaving: those that are ready
 // and those that are still starting.
-func (v *View) Staying() *Snapshot {
+func (v *View) Active() *Snapshot {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.rebuild()
 	return v.active
 }
 
-// Unreached returns the hosts that are gone and remembered, since they may come
+// Gone returns the hosts that are gone and remembered, since they may come
 // back.
-func (v *View) Unreached() *Snapshot {
+func (v *View) Gone() *Snapshot {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.rebuild()
@@ -113,8 +113,8 @@
 	return alive < missing
 }
 
-// Missed returns the number of expected hosts that are suspect or gone.
-func (v *View) Missed() int {
+// MissingCount returns the number of expected hosts that are suspect or gone.
+func (v *View) MissingCount() int {
 	_, missing := v.countHosts()
 	return missing
 }
--- a/internal/membership/sample.go
+++ b/internal/membership/sample.go
@@ -8,12 +8,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Spread returns at most n of the hosts for a key, drawn without replacement with
-// weights proportional to their capacity: a host with twice the capacity is twice
-// as likely to come first. The result for a key is the same as long as the hosts
-// are, so that callers that use it keep their connections. A host of unknown
-// capacity counts with the least known one.
-func Spread(key string, hosts []Host, n int) []Host {
+// SampleByCapacity returns at most n of the hosts for a key, drawn without
+// replacement with weights proportional to their capacity: a host with twice the
+// capacity is twice as likely to come first. The result for a key is the same as
+// long as the hosts are, so that callers that use it keep their connections. A
+// host of unknown capacity counts with the least known one.
+func SampleByCapacity(key string, hosts []Host, n int) []Host {
 	if len(hosts) <= n {
 		return hosts
 	}
--- a/internal/membership/sample_test.go
+++ b/internal/membership/sample_test.go
@@ -22,7 +22,7 @@
 	share := map[HostID]float64{}
 	const callers = 2000
 	for i := range callers {
-		chosen := Spread(fmt.Sprintf("10.0.%d.%d", i/256, i%256), hosts, 8)
+		chosen := SampleByCapacity(fmt.Sprintf("10.0.%d.%d", i/256, i%256), hosts, 8)
 		if len(chosen) != 8 {
 			t.Fatalf("got %d hosts, want 8", len(chosen))
 		}
@@ -48,16 +48,16 @@
 	for i := range 20 {
 		hosts = append(hosts, Host{ID: HostID(fmt.Sprintf("host-%d", i)), Capacity: uint32(i % 3)})
 	}
-	before := Spread("caller", hosts, 5)
-	if !slices.Equal(before, Spread("caller", hosts, 5)) {
+	before := SampleByCapacity("caller", hosts, 5)
+	if !slices.Equal(before, SampleByCapacity("caller", hosts, 5)) {
 		t.Error("the same caller gets other hosts")
 	}
 	gone := before[0].ID
-	after := Spread("caller", slices.DeleteFunc(hosts, func(h Host) bool { return h.ID == gone }), 5)
+	after := SampleByCapacity("caller", slices.DeleteFunc(hosts, func(h Host) bool { return h.ID == gone }), 5)
 	if !slices.Equal(after[:4], before[1:]) {
 		t.Errorf("after one host was removed, got %v from %v", after, before)
 	}
-	if few := Spread("caller", before, 8); len(few) != 5 {
+	if few := SampleByCapacity("caller", before, 8); len(few) != 5 {
 		t.Errorf("got %d hosts, want all 5", len(few))
 	}
 }
--- a/internal/membership/snapshot.go
+++ b/internal/membership/snapshot.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// maxSamples bounds the results of Spread that a snapshot caches.
+// maxSamples bounds the results of SampleByCapacity that a snapshot caches.
 const maxSamples = 256
 
 // Snapshot is a set of hosts at one moment. A view returns the same pointer until
@@ -92,9 +92,9 @@
 // Order returns the hosts sorted by their rendezvous scores for a key.
 func (s *Snapshot) Order(key string) *Order { return s.order(orderKey{key: key}) }
 
-// CapableOrder returns the hosts in the order of a key, with the high-capacity
-// ones first; see CapableFirst.
-func (s *Snapshot) CapableOrder(key string) *Order {
+// HighCapacityOrder returns the hosts in the order of a key, with the high-capacity
+// ones first; see HighCapacityFirst.
+func (s *Snapshot) HighCapacityOrder(key string) *Order {
 	return s.order(orderKey{key: key, highCapacityFirst: true})
 }
 
@@ -106,7 +106,7 @@
 	}
 	o := &Order{Hosts: Rank(k.key, s.hosts), positions: make(map[HostID]int, len(s.hosts))}
 	if k.highCapacityFirst {
-		o.Hosts = CapableFirst(o.Hosts)
+		o.Hosts = HighCapacityFirst(o.Hosts)
 	}
 	for i, h := range o.Hosts {
 		o.positions[h.ID] = i
@@ -137,10 +137,10 @@
 	return &Snapshot{}
 }
 
-// Spread returns at most n hosts for a key, as the function Spread does, and
-// caches the result, since the same keys are requested repeatedly. The result
-// must not be changed.
-func (s *Snapshot) Spread(key string, n int) []Host {
+// SampleByCapacity returns at most n hosts for a key, as the function
+// SampleByCapacity does, and caches the result, since the same keys are requested
+// repeatedly. The result must not be changed.
+func (s *Snapshot) SampleByCapacity(key string, n int) []Host {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if chosen, ok := s.samples[key]; ok && len(chosen) == min(n, len(s.hosts)) {
@@ -149,7 +149,7 @@
 	if s.samples == nil || len(s.samples) >= maxSamples {
 		s.samples = map[string][]Host{}
 	}
-	chosen := Spread(key, s.hosts, n)
+	chosen := SampleByCapacity(key, s.hosts, n)
 	s.samples[key] = chosen
 	return chosen
 }
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -85,9 +85,10 @@
 	return gone
 }
 
-// Forgive restarts the suspicion timeout of every suspect. A daemon whose process
-// was paused calls it, since refutations may have arrived that it has not read.
-func (v *View) Forgive() {
+// RestartSuspicion restarts the suspicion timeout of every suspect. A daemon
+// whose process was paused calls it, since refutations may have arrived that it
+// has not read.
+func (v *View) RestartSuspicion() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, e := range v.hosts {
@@ -99,7 +100,7 @@
 
 // applyToSelf handles an update of this daemon itself and refutes a wrong status.
 // Without it, a host that responded late once would be excluded until it restarts.
-func (v *View) applyToSelf(n News) {
+func (v *View) applyToSelf(n Update) {
 	switch {
 	case n.Host.Incarnation > v.self.Incarnation && v.self.State == Starting:
 		// The clock was set back since an earlier run. Nothing depends on the
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -46,7 +46,7 @@
 }
 
 type entry struct {
-	update News
+	update Update
 	// since is when the host got its present status.
 	since time.Time
 	// listedLeaving is set when the platform's list shows the host as leaving
@@ -159,26 +159,26 @@
 	v.announceSelf()
 }
 
-// SelfNews returns the update of this daemon's state that is sent to others.
-func (v *View) SelfNews() News {
+// SelfUpdate returns the update of this daemon's state that is sent to others.
+func (v *View) SelfUpdate() Update {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.selfUpdate()
 }
 
-func (v *View) selfUpdate() News {
+func (v *View) selfUpdate() Update {
 	if v.departed {
-		return News{Host: v.self, Status: Gone}
+		return Update{Host: v.self, Status: Gone}
 	}
-	return News{Host: v.self, Status: Alive}
+	return Update{Host: v.self, Status: Alive}
 }
 
 // Observe applies the state that an alive host has sent of itself.
-func (v *View) Observe(h Host) { v.ObserveNews(News{Host: h, Status: Alive}) }
+func (v *View) Observe(h Host) { v.ObserveUpdate(Update{Host: h, Status: Alive}) }
 
-// ObserveNews applies an update that a host has sent of itself. Its load and table
-// version are newer than in any update relayed by others.
-func (v *View) ObserveNews(n News) {
+// ObserveUpdate applies an update that a host has sent of itself. Its load and
+// table version are newer than in any update relayed by others.
+func (v *View) ObserveUpdate(n Update) {
 	v.Apply(n)
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -192,7 +192,7 @@
 
 // Apply applies an update relayed by another host. An update that is older than
 // what is known is ignored.
-func (v *View) Apply(n News) {
+func (v *View) Apply(n Update) {
 	if n.Host.ID == "" || n.Status < Alive || n.Status > Gone {
 		return
 	}
@@ -211,7 +211,7 @@
 
 // merge applies an update of another host and returns the incarnation that is gone
 // because of it, if any. The caller must hold the lock.
-func (v *View) merge(n News) []Host {
+func (v *View) merge(n Update) []Host {
 	e := v.hosts[n.Host.ID]
 	if e == nil {
 		e = &entry{update: n, since: v.clock.Now()}
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -41,7 +41,7 @@
 			var gone []uint64
 			v.OnGone = func(h membership.Host) { gone = append(gone, h.Incarnation) }
 			for _, r := range c.News {
-				v.Apply(membership.News{Status: r.Status, Host: membership.Host{
+				v.Apply(membership.Update{Status: r.Status, Host: membership.Host{
 					ID: "b", Incarnation: r.Incarnation, Sequence: r.Sequence, State: membership.Ready,
 				}})
 			}
@@ -59,11 +59,11 @@
 // it is suspect or gone, it must refute that with a greater sequence number.
 func TestRefutation(t *testing.T) {
 	v := membership.NewView(clockwork.NewFakeClock(), membership.Host{ID: "a", Incarnation: 5, Sequence: 3, State: membership.Ready})
-	v.Apply(membership.News{Status: membership.Gone, Host: membership.Host{ID: "a", Incarnation: 5, Sequence: 9}})
+	v.Apply(membership.Update{Status: membership.Gone, Host: membership.Host{ID: "a", Incarnation: 5, Sequence: 9}})
 	if got := v.Self().Sequence; got != 10 {
 		t.Errorf("sequence is %d, want 10", got)
 	}
-	v.Apply(membership.News{Status: membership.Gone, Host: membership.Host{ID: "a", Incarnation: 4, Sequence: 90}})
+	v.Apply(membership.Update{Status: membership.Gone, Host: membership.Host{ID: "a", Incarnation: 4, Sequence: 90}})
 	if got := v.Self().Sequence; got != 10 {
 		t.Errorf("an update of an earlier incarnation changed the sequence to %d", got)
 	}
--- a/internal/peer/connection_test.go
+++ b/internal/peer/connection_test.go
@@ -82,15 +82,15 @@
 	openStream(t, p, r.Address()).Close()
 }
 
-// After a heartbeat has timed out on a connection that delivers nothing, Replace
-// must end the streams on it at once, and the next heartbeat must use a new
-// connection.
-func TestReplaceOpensNewConnection(t *testing.T) {
+// After a heartbeat has timed out on a connection that delivers nothing,
+// CloseConnections must end the streams on it at once, and the next heartbeat
+// must use a new connection.
+func TestClosedConnectionsAreReopened(t *testing.T) {
 	r, _, _ := startRelayed(t)
 	p := newPool(t)
 	stream := openStream(t, p, r.Address())
 	r.Silence()
-	p.Replace(r.Address())
+	p.CloseConnections(r.Address())
 	<-stream.Done()
 	resp, err := p.Client(r.Address()).Heartbeat(context.Background(), &peerv1.HeartbeatRequest{})
 	if err != nil || resp.GetDigest() != 7 {
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -68,16 +68,17 @@
 	return pc
 }
 
-// Fresh returns a client that is not in the pool, with its own connections, and a
-// function that closes them.
-func (p *Pool) Fresh(address string) (c *Client, closeConnections func()) {
+// UnpooledClient returns a client that is not in the pool, with its own
+// connections, and a function that closes them.
+func (p *Pool) UnpooledClient(address string) (c *Client, closeConnections func()) {
 	pc := p.newPooledClient(address)
 	return pc.client, pc.close
 }
 
-// Replace closes the connections to an address, even while they are in use, and
-// removes its client from the pool. The next client opens new connections.
-func (p *Pool) Replace(address string) {
+// CloseConnections closes the connections to an address, even while they are in
+// use, and removes its client from the pool. The next client opens new
+// connections.
+func (p *Pool) CloseConnections(address string) {
 	p.mu.Lock()
 	pc := p.clients[address]
 	delete(p.clients, address)
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -24,13 +24,13 @@
 	Welcome func() *peerv1.Welcome
 	// Attach opens a session for a stream. Its argument send, which sends a
 	// batch to the other daemon, does not block.
-	Attach       func(hello *peerv1.Hello, send func(*peerv1.ReservationsResponse)) Session
-	OnHeartbeat  func(*peerv1.HeartbeatRequest) *peerv1.HeartbeatResponse
-	OnPushTable  func(context.Context, *peerv1.PushTableRequest) *peerv1.PushTableResponse
-	OnFetchTable func(*peerv1.FetchTableRequest) *peerv1.FetchTableResponse
-	OnAcquire    func(*peerv1.AcquireSlicesRequest) *peerv1.AcquireSlicesResponse
-	OnFacts      func(*peerv1.FactsRequest) *peerv1.FactsResponse
-	OnStatus     func(context.Context) *peerv1.StatusResponse
+	Attach          func(hello *peerv1.Hello, send func(*peerv1.ReservationsResponse)) Session
+	OnHeartbeat     func(*peerv1.HeartbeatRequest) *peerv1.HeartbeatResponse
+	OnPushTable     func(context.Context, *peerv1.PushTableRequest) *peerv1.PushTableResponse
+	OnFetchTable    func(*peerv1.FetchTableRequest) *peerv1.FetchTableResponse
+	OnAcquireSlices func(*peerv1.AcquireSlicesRequest) *peerv1.AcquireSlicesResponse
+	OnFacts         func(*peerv1.FactsRequest) *peerv1.FactsResponse
+	OnStatus        func(context.Context) *peerv1.StatusResponse
 
 	streams streams
 }
@@ -130,10 +130,10 @@
 
 // AcquireSlices grants slices of limits that this daemon owns.
 func (s *Server) AcquireSlices(_ context.Context, req *connect.Request[peerv1.AcquireSlicesRequest]) (*connect.Response[peerv1.AcquireSlicesResponse], error) {
-	if s.OnAcquire == nil {
+	if s.OnAcquireSlices == nil {
 		return nil, errUnimplemented
 	}
-	return connect.NewResponse(s.OnAcquire(req.Msg)), nil
+	return connect.NewResponse(s.OnAcquireSlices(req.Msg)), nil
 }
 
 // Facts returns the facts that the daemon has from the platform's store.
--- a/internal/placement/cluster_test.go
+++ b/internal/placement/cluster_test.go
@@ -255,7 +255,7 @@
 		case n.dead || n.cutOff || other.cutOff:
 			other.view.Suspect(n.info.ID, n.info.Incarnation)
 		default:
-			if _, doubted := other.view.Doubts(n.info); doubted {
+			if _, doubted := other.view.SuspectOrGone(n.info); doubted {
 				n.info.Sequence++
 			}
 			other.view.Observe(n.info)
--- a/internal/placement/reassign.go
+++ b/internal/placement/reassign.go
@@ -217,7 +217,7 @@
 func (p *Placer) updateShare() (share int, changed bool) {
 	share = 1
 	if !p.decidesLocally() && !p.canReachOthers() {
-		share += p.view.Missed() + len(p.suspects)
+		share += p.view.MissingCount() + len(p.suspects)
 	}
 	changed = share != p.share
 	p.share = share
