--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -182,9 +182,9 @@
 	return r.Tier
 }
 
-// Pick returns a pool, chosen by the weights of the shares; draw is a uniform
-// random number in [0, 1).
-func (r *Route) Pick(draw float64) table.Pool {
+// PickPool returns a pool, chosen by the weights of the shares; draw is a
+// uniform random number in [0, 1).
+func (r *Route) PickPool(draw float64) table.Pool {
 	total := 0.0
 	for _, s := range r.Shares {
 		total += s.Weight
--- a/internal/gateway/callers.go
+++ b/internal/gateway/callers.go
@@ -54,7 +54,7 @@
 	g.inProgress.Add(1)
 	defer g.inProgress.Add(-1)
 	began := g.boot.Now()
-	call := wire.ReadCall(r.Header)
+	call := wire.ParseCallerRequest(r.Header)
 	req, refusal := g.admit(w, r, &call, began)
 	if refusal != nil {
 		g.refuse(w, r, &call, refusal)
@@ -77,7 +77,7 @@
 }
 
 // refuse responds to a request that no endpoint has answered.
-func (g *Gateway) refuse(w http.ResponseWriter, r *http.Request, call *wire.Call, refusal *outcome.Refusal) {
+func (g *Gateway) refuse(w http.ResponseWriter, r *http.Request, call *wire.CallerRequest, refusal *outcome.Refusal) {
 	g.metrics.Refused(refusal.Reason)
 	g.logger.Info("refused", "request", call.ID, "outcome", refusal.Outcome, "reason", refusal.Reason, "message", refusal.Message,
 		"config", g.holder.Summary().Config, "configAgeMs", g.configAgeMs())
@@ -92,7 +92,7 @@
 
 // admit determines a request's route and account and reads its body. It returns
 // either the request to forward or a refusal.
-func (g *Gateway) admit(w http.ResponseWriter, r *http.Request, call *wire.Call, began time.Duration) (*forward.Request, *outcome.Refusal) {
+func (g *Gateway) admit(w http.ResponseWriter, r *http.Request, call *wire.CallerRequest, began time.Duration) (*forward.Request, *outcome.Refusal) {
 	if g.refusing.Load() {
 		refusal := outcome.NotRunError(outcome.ReasonLeaving, "this host is leaving")
 		refusal.RetryAfter = staleRetryAfter
@@ -206,7 +206,7 @@
 }
 
 // forwardRequest builds the request to forward.
-func (g *Gateway) forwardRequest(r *http.Request, call *wire.Call, m match, body []byte, began time.Duration) *forward.Request {
+func (g *Gateway) forwardRequest(r *http.Request, call *wire.CallerRequest, m match, body []byte, began time.Duration) *forward.Request {
 	route := m.route
 	tier := catalog.TierOf(route, m.account)
 	account := table.AccountName("")
@@ -227,7 +227,7 @@
 		Header:       call.Header,
 		Body:         body,
 		Class:        catalog.ClassName(route, tier),
-		Pool:         route.Pick(rand.Float64()), //nolint:gosec // shares of traffic
+		Pool:         route.PickPool(rand.Float64()), //nolint:gosec // shares of traffic
 		Account:      account,
 		Tier:         tier,
 		Kind:         route.Kind,
@@ -249,7 +249,7 @@
 // writeHead forwards the status and headers of a response.
 func writeHead(w http.ResponseWriter, status int, h http.Header, length int64) {
 	out := w.Header()
-	for name, values := range wire.AnswerHeader(h) {
+	for name, values := range wire.ResponseHeader(h) {
 		out[name] = values
 	}
 	if _, ok := out["Content-Type"]; !ok {
--- a/internal/gateway/directory.go
+++ b/internal/gateway/directory.go
@@ -61,7 +61,7 @@
 	if len(addresses) == 0 {
 		return c.NoContent(http.StatusServiceUnavailable)
 	}
-	return c.JSON(http.StatusOK, wire.Resolved{
+	return c.JSON(http.StatusOK, wire.ResolveResponse{
 		Addresses: addresses,
 		TTL:       g.conf().Gateway.AddressLifetime.Std().Seconds(),
 	})
--- a/internal/gateway/facts.go
+++ b/internal/gateway/facts.go
@@ -34,7 +34,7 @@
 // distribute facts.
 func (g *Gateway) buildFacts() {
 	client := platform.NewClientWith(g.clock, g.conf().Platform.URL, endpoint.NewTransport(), g.conf().Platform.Timeout.Std(), g.metrics)
-	g.store = client.WithWire(wire.StoreWire())
+	g.store = client.WithWire(wire.StoreProtocol())
 	g.storeTime = storetime.NewClock(g.boot)
 	g.holder = facts.NewHolder(g.storeTime, wire.ParseConfig)
 	g.holder.OnChange = g.applyFacts
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -168,7 +168,7 @@
 		Logger:    g.logger,
 		Metrics:   g.metrics,
 		Pool:      http1.NewPool(g.clock, http1.Dial),
-		Protocol:  wire.EngineWire(),
+		Protocol:  wire.EngineProtocol(),
 		Reserve:   g.placer.Reserve,
 		Usable:    g.usable,
 		Budget:    g.retryBudget,
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -52,11 +52,11 @@
 	}{
 		{"unknown path", "/none/x", nil, "", 404},
 		{"the prefix without its final slash", "/pay", nil, "", 404},
-		{"unknown key", "/pay/x", map[string]string{platform.HeaderKey: "other"}, "", 401},
-		{"no key", "/pay/x", map[string]string{platform.HeaderKey: ""}, "", 401},
+		{"unknown key", "/pay/x", map[string]string{platform.HeaderAPIKey: "other"}, "", 401},
+		{"no key", "/pay/x", map[string]string{platform.HeaderAPIKey: ""}, "", 401},
 		{"no id", "/pay/x", map[string]string{platform.HeaderRequestID: ""}, "", 400},
 		{"a large body", "/pay/x", nil, strings.Repeat("x", 1001), 413},
-		{"a public route without a key", "/open/x", map[string]string{platform.HeaderKey: ""}, "", 200},
+		{"a public route without a key", "/open/x", map[string]string{platform.HeaderAPIKey: ""}, "", 200},
 	} {
 		if a := s.call(d, http.MethodPost, tt.target, tt.header, tt.body); a.status != tt.status {
 			t.Errorf("%s: status %d (%v), want %d", tt.name, a.status, a.err, tt.status)
@@ -219,7 +219,7 @@
 func TestConfigReachesEveryDaemon(t *testing.T) {
 	s := newTestSite(t, 3)
 	s.config.Version = 9
-	s.config.TakeKey()
+	s.config.RevokeSampleKey()
 	s.config.AddOpenRoute("new")
 	s.putConfig()
 	for _, d := range s.daemons {
@@ -313,7 +313,7 @@
 func TestDrainingEngineGetsNoRequests(t *testing.T) {
 	s := newTestSite(t, 2)
 	e := s.engines["llm-1"]
-	s.store.Put(platform.TableEngines, "llm-1", standin.EntryOf(e.pool, e.address, true))
+	s.store.Put(platform.TableEngines, "llm-1", standin.NewEntry(e.pool, e.address, true))
 	for _, d := range s.daemons {
 		s.await("draining", func() bool { f, _ := d.g.holder.Endpoint("llm-1"); return f.Draining })
 	}
@@ -351,7 +351,7 @@
 func TestGracefulShutdown(t *testing.T) {
 	s := newTestSite(t, 2)
 	for _, e := range s.engines {
-		e.Events, e.Pause = 30, 100*time.Millisecond
+		e.Events, e.Delay = 30, 100*time.Millisecond
 	}
 	d := s.daemons[0]
 	result := make(chan response)
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -63,7 +63,7 @@
 	for i := range 10 {
 		s.addEngine(fmt.Sprintf("llm-%d", 3+i), "llm")
 	}
-	s.setFaults(standin.EngineFaults{EndsOn: terminatingBody})
+	s.setFaults(standin.EngineFaults{TerminateOn: terminatingBody})
 	for _, d := range s.daemons {
 		s.await("all engines known", func() bool { return len(d.g.holder.Endpoints()) == len(s.engines) })
 	}
--- a/internal/gateway/site_test.go
+++ b/internal/gateway/site_test.go
@@ -80,16 +80,16 @@
 func (s *testSite) putConfig() { s.store.Put(platform.TableOperator, platform.KeyConfig, s.config) }
 
 func (s *testSite) addEngine(id, service string) {
-	e := &testEngine{Engine: &standin.Engine{ID: id, Slots: 8, Events: 5, Pause: 5 * time.Millisecond}}
+	e := &testEngine{Engine: &standin.Engine{ID: id, Slots: 8, Events: 5, Delay: 5 * time.Millisecond}}
 	e.server = httptest.NewServer(e.Engine)
 	s.t.Cleanup(func() { e.server.CloseClientConnections(); e.server.Close() })
-	e.End = func() {
+	e.Terminate = func() {
 		_ = e.server.Listener.Close()
 		go e.server.CloseClientConnections()
 	}
 	e.pool, e.address = service, strings.TrimPrefix(e.server.URL, "http://")
 	s.engines[id] = e
-	s.store.Put(platform.TableEngines, id, standin.EntryOf(e.pool, e.address, false))
+	s.store.Put(platform.TableEngines, id, standin.NewEntry(e.pool, e.address, false))
 }
 
 func (s *testSite) addDaemon() *testDaemon {
@@ -166,7 +166,7 @@
 	req.Host = standin.SampleHost
 	req.Close = true
 	req.Header.Set(platform.HeaderRequestID, a.id)
-	req.Header.Set(platform.HeaderKey, standin.SampleKey)
+	req.Header.Set(platform.HeaderAPIKey, standin.SampleKey)
 	req.Header.Set(platform.HeaderDeadline, "10000")
 	for name, value := range header {
 		req.Header.Set(name, value)
@@ -238,7 +238,7 @@
 		return nil
 	}
 	defer func() { _ = resp.Body.Close() }()
-	var a platform.Resolved
+	var a platform.ResolveResponse
 	if json.NewDecoder(resp.Body).Decode(&a) != nil {
 		return nil
 	}
--- a/internal/gateway/store_restore_test.go
+++ b/internal/gateway/store_restore_test.go
@@ -25,7 +25,7 @@
 		s.await("the edit is applied", func() bool { return served(d) })
 	}
 	s.await("all hosts are registered", func() bool { return s.store.Count(platform.TableHosts) == len(s.daemons) })
-	s.store.ComeBack(time.Since(began))
+	s.store.Restore(time.Since(began))
 	for _, d := range s.daemons {
 		s.await("the restore is detected", func() bool { return d.g.holder.Summary().Position.Era() == 1 })
 		if !served(d) {
@@ -33,7 +33,7 @@
 		}
 	}
 	gone := s.engines["app-1"]
-	s.store.Put(platform.TableEngines, "app-1", standin.EntryOf(gone.pool, gone.address, true))
+	s.store.Put(platform.TableEngines, "app-1", standin.NewEntry(gone.pool, gone.address, true))
 	for _, d := range s.daemons {
 		s.await("a change in the new era", func() bool {
 			e, ok := d.g.holder.Endpoint("app-1")
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -107,7 +107,7 @@
 }
 
 // call sends a request and records what came of it.
-func (r *run) call(client *http.Client, address string, call standin.Call) standin.CallAnswer {
+func (r *run) call(client *http.Client, address string, call standin.Call) standin.CallResponse {
 	sent := time.Now()
 	answer := call.Send(context.Background(), client, address)
 	r.noteCall(Call{Call: call, Answer: answer, Daemon: r.daemonOf(address), Sent: sent, Ended: time.Now()})
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -90,11 +90,11 @@
 // wholeBody is the whole answer to a call.
 func wholeBody(c *Call) string {
 	if !standin.IsStream(c.Route) {
-		return standin.AnswerTo(c.ID)
+		return standin.ResponseBody(c.ID)
 	}
 	var b strings.Builder
 	for i := range streamEvents {
-		b.WriteString(standin.EventOf(c.ID, i+1))
+		b.WriteString(standin.EventText(c.ID, i+1))
 	}
 	return b.String()
 }
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -20,7 +20,7 @@
 	rec := &Record{Began: at(0), Calm: at(30), Ended: at(32), Daemons: 1}
 	add := func(id, route string, sent float64, engine int) {
 		c := Call{Call: standin.Call{ID: id, Route: route, Key: standin.SampleKey, Deadline: callDeadline}, Sent: at(sent), Ended: at(sent + 1)}
-		c.Answer = standin.CallAnswer{Status: http.StatusOK, Signed: true}
+		c.Answer = standin.CallResponse{Status: http.StatusOK, Signed: true}
 		c.Answer.Body = wholeBody(&c)
 		rec.Calls = append(rec.Calls, c)
 		r := Run{Engine: engine}
@@ -85,13 +85,13 @@
 		{"a booking runs twice", "at most once", func(r *Record) { r.Runs = append(r.Runs, r.Runs[0]) }},
 		{"a stream that can't go on runs twice", "at most once", func(r *Record) { r.Runs = append(r.Runs, r.Runs[1]) }},
 		{"refused and has run", "not run", func(r *Record) {
-			r.Calls[0].Answer = standin.CallAnswer{Status: http.StatusServiceUnavailable}
+			r.Calls[0].Answer = standin.CallResponse{Status: http.StatusServiceUnavailable}
 		}},
-		{"another's answer", "whole answers", func(r *Record) { r.Calls[0].Answer.Body = standin.AnswerTo("look") }},
-		{"a short answer that looks whole", "whole answers", func(r *Record) { r.Calls[1].Answer.Body = standin.EventOf("draft", 1) }},
+		{"another's answer", "whole answers", func(r *Record) { r.Calls[0].Answer.Body = standin.ResponseBody("look") }},
+		{"a short answer that looks whole", "whole answers", func(r *Record) { r.Calls[1].Answer.Body = standin.EventText("draft", 1) }},
 		{"an event twice before it broke off", "whole answers", func(r *Record) {
 			r.Calls[1].Cause = "EOF"
-			r.Calls[1].Answer.Body = standin.EventOf("draft", 1) + standin.EventOf("draft", 1)
+			r.Calls[1].Answer.Body = standin.EventText("draft", 1) + standin.EventText("draft", 1)
 		}},
 		{"a success without signature", "whole answers", func(r *Record) { r.Calls[0].Answer.Signed = false }},
 		{"a run that nobody asked for", "asked", func(r *Record) { r.Runs[0].ID = "smuggled" }},
@@ -107,7 +107,7 @@
 		}},
 		{"a stop that fails", "graceful stop", func(r *Record) { r.Stops[0].Clean = false }},
 		{"not served in the calm time", "recovery", func(r *Record) {
-			r.Calls[3].Answer = standin.CallAnswer{Status: http.StatusBadGateway}
+			r.Calls[3].Answer = standin.CallResponse{Status: http.StatusBadGateway}
 		}},
 		{"a daemon obeys an old document", "recovery", func(r *Record) { r.Final[0].Newest = http.StatusNotFound }},
 		{"a daemon takes an old key", "recovery", func(r *Record) { r.Final[0].Revoked = http.StatusOK }},
--- a/internal/soak/copy.go
+++ b/internal/soak/copy.go
@@ -22,7 +22,7 @@
 	r.storeLock.Lock()
 	r.must(r.site.post(r.site.storeURL(), form.StoreFaults{Down: true}))
 	time.Sleep(copyAway)
-	r.must(r.site.edit(form.Edit{ComeBackMs: int(f.For.Milliseconds())}))
+	r.must(r.site.edit(form.Edit{RestoreAgeMs: int(f.For.Milliseconds())}))
 	r.must(r.site.post(r.site.storeURL(), form.StoreFaults{HideEra: r.o.Plant == plantHideEra}))
 	r.storeLock.Unlock()
 	time.Sleep(rewritePause)
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -146,7 +146,7 @@
 // setFaults switches an engine's faults but for its limit and the requests that
 // end it. The caller holds the engine's lock.
 func (r *run) setFaults(engine int, f form.EngineFaults) error {
-	f.EndsOn = endingBody
+	f.TerminateOn = endingBody
 	if r.limited[engine] {
 		f.Limit, f.HideLimit = engineLimit, r.o.Plant == plantHideLimit
 	}
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -30,7 +30,7 @@
 // Call is one request of a caller with what it got.
 type Call struct {
 	standin.Call
-	Answer standin.CallAnswer
+	Answer standin.CallResponse
 	// Cause is the error of the answer as text.
 	Cause  string
 	Daemon int
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -137,7 +137,7 @@
 }
 
 func (s *site) putEngine(i int, draining bool) error {
-	entry := standin.EntryOf(s.pool(i), s.address(standinAddress, portEngineWay+i), draining)
+	entry := standin.NewEntry(s.pool(i), s.address(standinAddress, portEngineWay+i), draining)
 	return s.operate(platform.TableEngines, s.engine(i), entry)
 }
 
--- a/internal/standin/main.go
+++ b/internal/standin/main.go
@@ -153,7 +153,7 @@
 
 // Execute runs the stand-in of an endpoint of the users' platform.
 func (c *endpointCommand) Execute([]string) error {
-	return c.serve(&gatewayform.Engine{ID: c.ID, Slots: c.Slots, Events: c.Events, Pause: c.Pause, End: c.end})
+	return c.serve(&gatewayform.Engine{ID: c.ID, Slots: c.Slots, Events: c.Events, Delay: c.Pause, Terminate: c.end})
 }
 
 // end has the way to the engine closed.
