--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -53,7 +53,7 @@
 // Server serves callers. All exported fields must be set before it serves.
 type Server struct {
 	Logger     *slog.Logger
-	Keeper     *tablesync.Keeper
+	Keeper     *tablesync.Replica
 	View       *membership.View
 	Dispatcher *dispatch.Dispatcher
 	Claims     *claim.Store
--- a/internal/caller/slow_test.go
+++ b/internal/caller/slow_test.go
@@ -29,7 +29,7 @@
 	viewClock = clockwork.NewFakeClock()
 	view = membership.NewView(viewClock, membership.Host{ID: "host-1", State: membership.Ready, CallerAddress: "10.0.0.1:7400"})
 	view.Observe(membership.Host{ID: "host-2", Incarnation: 1, State: membership.Ready, CallerAddress: "10.0.0.2:7400"})
-	keeper := tablesync.NewKeeper(clock, metrics)
+	keeper := tablesync.NewReplica(clock, metrics)
 	s = &caller.Server{
 		Logger: slog.New(slog.DiscardHandler), Keeper: keeper, View: view, Metrics: metrics, Attainment: attainment.NewRecorder(clock),
 		BodyTimeout: 50 * time.Millisecond, StallTimeout: time.Second, MaxRequests: 1,
@@ -46,7 +46,7 @@
 	if err := keeper.Adopt(1, data); err != nil {
 		t.Fatal(err)
 	}
-	keeper.HeardStore(time.Now())
+	keeper.RecordStoreContact(time.Now())
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/cli/table.go
+++ b/internal/cli/table.go
@@ -86,7 +86,7 @@
 
 // change sends a change and prints where it is in force.
 func (r *remote) change(method, path string, in any) error {
-	var a tablesync.Accepted
+	var a tablesync.EditResult
 	if err := r.call(method, path, in, &a); err != nil {
 		return err
 	}
@@ -190,7 +190,7 @@
 
 // Execute prints the accepted edits.
 func (c *tableHistory) Execute([]string) error {
-	var entries []tablesync.Entry
+	var entries []tablesync.HistoryEntry
 	if err := c.call(http.MethodGet, "/v1/table/history", nil, &entries); err != nil {
 		return err
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -50,7 +50,7 @@
 	meter      *control.Meter
 
 	view          *membership.View
-	keeper        *tablesync.Keeper
+	replica       *tablesync.Replica
 	store         *tablesync.Store
 	platform      *platform.Client
 	claims        *claim.Store
@@ -60,7 +60,7 @@
 	suspects      *quarantine.List
 	peers         *peer.Pool
 	heartbeats    *heartbeat.Exchanger
-	spreader      *tablesync.Spreader
+	propagator    *tablesync.Propagator
 	hostList      hostList
 	cells         *cellhost.Host
 	limitOwner    *limit.Owner
@@ -102,18 +102,18 @@
 	})
 	d.meter = control.NewMeter(d.metrics)
 	d.platform = platform.NewClientWith(d.clock, s.Platform.URL, d.meter.RoundTripper(control.Platform, metered(d.meter, control.Platform, endpoint.NewTransport())), s.Platform.Timeout.Std(), d.metrics)
-	d.keeper = tablesync.NewKeeper(d.clock, d.metrics)
+	d.replica = tablesync.NewReplica(d.clock, d.metrics)
 	d.store = tablesync.NewStore(d.platform.For(platform.UseTable))
 	d.coordinator = cell.NewCoordinator(d.clock, membership.HostID(s.Host), size, s.Policy)
 	d.coordinator.Disabled = s.Disabled
 	d.view.OnGone = d.hostGone
 	d.view.Count = d.metrics.Inc
-	d.keeper.InMinority = d.view.InMinority
-	d.keeper.FromPeers = d.fetchFromPartners
+	d.replica.InMinority = d.view.InMinority
+	d.replica.FetchFromPeers = d.fetchFromPartners
 	d.suspects = quarantine.NewList(d.clock)
 	d.suspects.OnChange = quarantine.ReportChanges(d.logger, d.metrics.Inc)
 	d.buildPeers()
-	d.buildSpreader()
+	d.buildPropagator()
 	d.cells = &cellhost.Host{
 		Clock:       d.clock,
 		View:        d.view,
@@ -128,7 +128,7 @@
 	d.limitOwner = limit.NewOwner(d.clock, d.view.Self().ID)
 	d.limits = limit.NewLimiter(d.clock, d.view, d.acquireSlices, d.metrics)
 	d.claims = d.newClaims()
-	d.keeper.Watch(d.applyTable)
+	d.replica.Watch(d.applyTable)
 	d.buildServers()
 	return d
 }
@@ -143,7 +143,7 @@
 	sender := endpoint.NewSender(endpoint.NewTransport())
 	d.callerHandler = &caller.Server{
 		Logger:     d.logger,
-		Keeper:     d.keeper,
+		Keeper:     d.replica,
 		View:       d.view,
 		Dispatcher: dispatch.NewDispatcher(d.clock, d.limits, d.placer, engine.NewClient(sender), service.NewClient(sender), d.suspects, d.metrics),
 		Claims:     d.claims,
@@ -156,8 +156,8 @@
 	}
 	operatorHandler := &operator.Server{
 		Logger:  d.logger,
-		Keeper:  d.keeper,
-		Editor:  tablesync.NewEditor(d.keeper, d.store, d.pushTable, d.clock.Now),
+		Keeper:  d.replica,
+		Editor:  tablesync.NewEditor(d.replica, d.store, d.pushTable, d.clock.Now),
 		View:    d.view,
 		Metrics: d.metrics,
 		Key:     d.secrets.OperatorKey,
@@ -221,7 +221,7 @@
 		}
 		g.Go(func() error { return serve(ctx, s.server, l) })
 	}
-	g.Go(func() error { d.keeper.Poll(ctx, d.store); return nil })
+	g.Go(func() error { d.replica.Poll(ctx, d.store); return nil })
 	g.Go(func() error { d.heartbeats.Run(ctx); return nil })
 	g.Go(func() error { d.watchHostList(ctx); return nil })
 	g.Go(func() error { d.tick(ctx); return nil })
--- a/internal/daemon/hostlist.go
+++ b/internal/daemon/hostlist.go
@@ -159,7 +159,7 @@
 		}
 		d.view.MarkListedLeaving(membership.HostID(h.ID))
 	}
-	if v := d.keeper.Current(); v != nil {
+	if v := d.replica.Current(); v != nil {
 		d.updateDraining(v.Table)
 	}
 	if d.hostList.isLeaving(d.settings.Host) && d.clock.Since(started) > listLag {
--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -21,7 +21,7 @@
 			return ok && position == 0
 		},
 		Table: func() *table.Table {
-			if v := d.keeper.Current(); v != nil {
+			if v := d.replica.Current(); v != nil {
 				return v.Table
 			}
 			return nil
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -43,7 +43,7 @@
 		},
 		CloseConnections: d.peers.CloseConnections,
 		OnResponse:       d.handleHeartbeat,
-		StoreAge:         d.keeper.StoreAge,
+		StoreAge:         d.replica.StoreAge,
 		Seeds:            d.seeds,
 		Load:             func() uint32 { return uint32(d.callerHandler.InProgress()) },
 		Count:            d.metrics.Inc,
@@ -62,8 +62,8 @@
 	if n.Host.TableVersion == 0 || n.Status != membership.Alive {
 		return
 	}
-	if table.Version(n.Host.TableVersion) <= d.keeper.Version() {
-		d.keeper.HeardPeer(sent, storeAge)
+	if table.Version(n.Host.TableVersion) <= d.replica.Version() {
+		d.replica.RecordPeerContact(sent, storeAge)
 		return
 	}
 	// A response from the peer counts against staleness only once its version
@@ -74,11 +74,11 @@
 func (d *Daemon) fetchTable(address string) {
 	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
-	if err := d.spreader.FetchFrom(ctx, address); err != nil {
+	if err := d.propagator.FetchFrom(ctx, address); err != nil {
 		d.logger.Warn("table not fetched", "from", address, "error", err)
 		return
 	}
-	d.spreader.Spread(ctx, d.keeper.Version())
+	d.propagator.Propagate(ctx, d.replica.Version())
 }
 
 // fetchFromPartners activates a version if a partner has it, and reports
@@ -88,19 +88,19 @@
 		if table.Version(h.TableVersion) < v {
 			continue
 		}
-		if err := d.spreader.FetchFrom(ctx, h.PeerAddress); err == nil && d.keeper.Version() >= v {
+		if err := d.propagator.FetchFrom(ctx, h.PeerAddress); err == nil && d.replica.Version() >= v {
 			return true
 		}
 	}
 	return false
 }
 
-// buildSpreader sets up the propagation of tables among the daemons.
-func (d *Daemon) buildSpreader() {
+// buildPropagator sets up the propagation of tables among the daemons.
+func (d *Daemon) buildPropagator() {
 	self := d.view.Self()
-	d.spreader = &tablesync.Spreader{
-		Keeper: d.keeper,
-		Host:   string(self.ID),
+	d.propagator = &tablesync.Propagator{
+		Replica: d.replica,
+		Host:    string(self.ID),
 		Partners: func() []string {
 			var addresses []string
 			for _, h := range d.view.Partners() {
@@ -108,17 +108,17 @@
 			}
 			return addresses
 		},
-		Tell: func(ctx context.Context, address string, v table.Version) ([]string, error) {
+		Notify: func(ctx context.Context, address string, v table.Version) ([]string, error) {
 			resp, err := d.peers.Client(address).PushTable(ctx, &peerv1.PushTableRequest{Version: uint64(v), Address: self.PeerAddress})
 			return resp.GetHosts(), err
 		},
-		Fetch: func(ctx context.Context, address string, newerThan table.Version, whole bool) (tablesync.Fetched, error) {
+		Fetch: func(ctx context.Context, address string, newerThan table.Version, whole bool) (tablesync.Update, error) {
 			resp, err := d.peers.Client(address).FetchTable(ctx, &peerv1.FetchTableRequest{NewerThan: uint64(newerThan), Whole: whole})
-			return tablesync.Fetched{
-				Version: table.Version(resp.GetVersion()),
-				Data:    resp.GetTable(),
-				Patches: resp.GetPatches(),
-				Sum:     resp.GetChecksum(),
+			return tablesync.Update{
+				Version:  table.Version(resp.GetVersion()),
+				Data:     resp.GetTable(),
+				Patches:  resp.GetPatches(),
+				Checksum: resp.GetChecksum(),
 			}, err
 		},
 		Count: d.metrics.Inc,
@@ -152,7 +152,7 @@
 func (d *Daemon) propagate(ctx context.Context, v table.Version) []string {
 	ctx, cancel := context.WithTimeout(ctx, propagationTimeout)
 	defer cancel()
-	return d.spreader.Spread(ctx, v)
+	return d.propagator.Propagate(ctx, v)
 }
 
 // notifyDirectly notifies the given hosts, which the rings did not reach in
@@ -164,7 +164,7 @@
 	g.SetLimit(maxConcurrentNotifications)
 	for _, h := range hosts {
 		g.Go(func() error {
-			reached, err := d.spreader.Tell(ctx, h.PeerAddress, v)
+			reached, err := d.propagator.Notify(ctx, h.PeerAddress, v)
 			mu.Lock()
 			defer mu.Unlock()
 			if err == nil && slices.Contains(reached, string(h.ID)) {
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -20,7 +20,7 @@
 func (d *Daemon) ownStatus() *status.Daemon {
 	s := &status.Daemon{
 		Host:         string(d.view.Self().ID),
-		TableVersion: d.keeper.Version(),
+		TableVersion: d.replica.Version(),
 		Classes:      d.attainment.Status(),
 		Queues:       status.Queues{},
 		Endpoints:    []status.Endpoint{},
--- a/internal/load/edit.go
+++ b/internal/load/edit.go
@@ -74,7 +74,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return 0, errors.Errorf("status %d", resp.StatusCode)
 	}
-	var accepted tablesync.Accepted
+	var accepted tablesync.EditResult
 	if err := json.NewDecoder(resp.Body).Decode(&accepted); err != nil {
 		return 0, err
 	}
--- a/internal/operator/error.go
+++ b/internal/operator/error.go
@@ -29,7 +29,7 @@
 		body.Message = httpErr.Message
 	}
 	if status == 0 {
-		status = tablesync.Status(err)
+		status = tablesync.HTTPStatus(err)
 	}
 	if faults, ok := errors.Into[table.Faults](err); ok {
 		body = Error{Message: "the table would have faults", Faults: faults}
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -26,7 +26,7 @@
 // Server answers operators. All fields must be set before it serves.
 type Server struct {
 	Logger  *slog.Logger
-	Keeper  *tablesync.Keeper
+	Keeper  *tablesync.Replica
 	Editor  *tablesync.Editor
 	View    *membership.View
 	Metrics *metric.Registry
--- a/internal/operator/table.go
+++ b/internal/operator/table.go
@@ -64,7 +64,7 @@
 		return echo.NewHTTPError(http.StatusServiceUnavailable, "the history can't be read: "+err.Error())
 	}
 	if entries == nil {
-		entries = []tablesync.Entry{}
+		entries = []tablesync.HistoryEntry{}
 	}
 	return c.JSON(http.StatusOK, entries)
 }
--- a/internal/platform/history_test.go
+++ b/internal/platform/history_test.go
@@ -179,7 +179,7 @@
 func (r *editRecorder) put(client int, s *tablesync.Store, base table.Version, n int) {
 	call := r.now()
 	t := &table.Table{Classes: []table.Class{{Name: "c", Weight: n}}}
-	version, err := s.Put(context.Background(), base, t, tablesync.Entry{EditID: fmt.Sprint(n)})
+	version, err := s.Put(context.Background(), base, t, tablesync.HistoryEntry{EditID: fmt.Sprint(n)})
 	out := edited{version: version, n: n}
 	switch {
 	case errors.Is(err, tablesync.ErrConflict):
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -108,7 +108,7 @@
 		cfg.Table(t)
 	}
 	client := platform.NewClient(platformURL, http.DefaultTransport, time.Second)
-	entry := tablesync.Entry{EditID: "sample", Operator: "demo", At: time.Now(), Summary: "sample table"}
+	entry := tablesync.HistoryEntry{EditID: "sample", Operator: "demo", At: time.Now(), Summary: "sample table"}
 	if _, err := tablesync.NewStore(client).Put(ctx, 0, t, entry); err != nil {
 		return nil, err
 	}
--- a/internal/tablesync/edit.go
+++ b/internal/tablesync/edit.go
@@ -38,8 +38,8 @@
 	Fields map[string]string `json:"fields"`
 }
 
-// Accepted is the result of an accepted edit.
-type Accepted struct {
+// EditResult is the result of an accepted edit.
+type EditResult struct {
 	Version table.Version `json:"version"`
 	EditID  string        `json:"editId"`
 	// Repeated reports whether an earlier request for the same edit was
@@ -51,38 +51,38 @@
 	Pending []string `json:"pending"`
 }
 
-// Push propagates the active version to the other hosts. It returns the hosts
-// that confirmed it and those that did not.
-type Push func(ctx context.Context, v table.Version) (inForce, pending []string)
+// PushFunc propagates the active version to the other hosts. It returns the
+// hosts that confirmed it and those that did not.
+type PushFunc func(ctx context.Context, v table.Version) (inForce, pending []string)
 
 // Editor applies edits to the table.
 type Editor struct {
-	keeper *Keeper
-	store  *Store
-	push   Push
-	now    func() time.Time
+	replica *Replica
+	store   *Store
+	push    PushFunc
+	now     func() time.Time
 }
 
 // NewEditor returns an editor that propagates accepted edits with push.
-func NewEditor(keeper *Keeper, store *Store, push Push, now func() time.Time) *Editor {
-	return &Editor{keeper: keeper, store: store, push: push, now: now}
+func NewEditor(replica *Replica, store *Store, push PushFunc, now func() time.Time) *Editor {
+	return &Editor{replica: replica, store: store, push: push, now: now}
 }
 
 // Put replaces the whole table. Rows that v does not change keep the changes
 // that others have made since the version that v is based on.
-func (e *Editor) Put(ctx context.Context, v table.Versioned, operator string) (a *Accepted, err error) {
+func (e *Editor) Put(ctx context.Context, v table.Versioned, operator string) (a *EditResult, err error) {
 	if faults := v.Table.Check(); len(faults) > 0 {
 		return nil, faults
 	}
-	entry := Entry{EditID: rand.Text(), Operator: operator, At: e.now(), Summary: "table put"}
+	entry := HistoryEntry{EditID: rand.Text(), Operator: operator, At: e.now(), Summary: "table put"}
 	return e.accept(ctx, entry, &v.Version, func(*table.Table) (*table.Table, error) { return v.Table, nil })
 }
 
 // Edit changes one row of the version that the operator edited. Edits of other
 // rows that were accepted since then are kept; edits of the same row result in
 // a Conflict.
-func (e *Editor) Edit(ctx context.Context, edit RowEdit, operator string) (a *Accepted, err error) {
-	entry := Entry{EditID: edit.ID, Operator: operator, At: e.now(), Summary: edit.summary()}
+func (e *Editor) Edit(ctx context.Context, edit RowEdit, operator string) (a *EditResult, err error) {
+	entry := HistoryEntry{EditID: edit.ID, Operator: operator, At: e.now(), Summary: edit.summary()}
 	if entry.EditID == "" {
 		entry.EditID = rand.Text()
 	}
@@ -107,11 +107,11 @@
 // accept applies change to the base version, or to the newest one if base is
 // nil, rebases the result onto the newest version and stores it. If another
 // edit is accepted first, the result is rebased again.
-func (e *Editor) accept(ctx context.Context, entry Entry, base *table.Version, change func(*table.Table) (*table.Table, error)) (*Accepted, error) {
-	if v, err := e.store.Accepted(ctx, entry); err != nil || v != 0 {
+func (e *Editor) accept(ctx context.Context, entry HistoryEntry, base *table.Version, change func(*table.Table) (*table.Table, error)) (*EditResult, error) {
+	if v, err := e.store.AcceptedVersion(ctx, entry); err != nil || v != 0 {
 		return e.repeatedResult(ctx, entry, v, err)
 	}
-	if err := e.keeper.Refresh(ctx, e.store); err != nil {
+	if err := e.replica.Refresh(ctx, e.store); err != nil {
 		return nil, err
 	}
 	baseTable, err := e.baseTable(ctx, base)
@@ -133,14 +133,14 @@
 		case errors.Is(err, errRepeated):
 			return e.repeatedResult(ctx, entry, version, nil)
 		case errors.Is(err, ErrConflict):
-			if err := e.keeper.Refresh(ctx, e.store); err != nil {
+			if err := e.replica.Refresh(ctx, e.store); err != nil {
 				return nil, err
 			}
 			continue
 		case err != nil:
 			return nil, err
 		}
-		if err := e.keeper.Adopt(version, mustJSON(merged)); err != nil {
+		if err := e.replica.Adopt(version, mustJSON(merged)); err != nil {
 			return nil, err
 		}
 		e.store.deleteExpired(ctx, version)
@@ -151,7 +151,7 @@
 
 // current returns the active table, or an empty one before the first put.
 func (e *Editor) current() *table.Versioned {
-	if v := e.keeper.Current(); v != nil {
+	if v := e.replica.Current(); v != nil {
 		return v
 	}
 	return &table.Versioned{Table: &table.Table{}}
@@ -192,32 +192,32 @@
 
 // repeatedResult returns the result of an edit that was accepted before, but
 // whose response was lost.
-func (e *Editor) repeatedResult(ctx context.Context, entry Entry, version table.Version, err error) (*Accepted, error) {
+func (e *Editor) repeatedResult(ctx context.Context, entry HistoryEntry, version table.Version, err error) (*EditResult, error) {
 	if err != nil {
 		return nil, err
 	}
-	if err := e.keeper.Refresh(ctx, e.store); err != nil {
+	if err := e.replica.Refresh(ctx, e.store); err != nil {
 		return nil, err
 	}
 	return e.propagate(ctx, entry, version, true), nil
 }
 
-func (e *Editor) propagate(ctx context.Context, entry Entry, version table.Version, repeated bool) *Accepted {
+func (e *Editor) propagate(ctx context.Context, entry HistoryEntry, version table.Version, repeated bool) *EditResult {
 	inForce, pending := e.push(ctx, version)
-	return &Accepted{Version: version, EditID: entry.EditID, Repeated: repeated, InForce: inForce, Pending: pending}
+	return &EditResult{Version: version, EditID: entry.EditID, Repeated: repeated, InForce: inForce, Pending: pending}
 }
 
 // History returns the newest accepted edits, oldest first.
-func (e *Editor) History(ctx context.Context) ([]Entry, error) {
+func (e *Editor) History(ctx context.Context) ([]HistoryEntry, error) {
 	var after table.Version
-	if v := e.keeper.Version(); v > maxHistory {
+	if v := e.replica.Version(); v > maxHistory {
 		after = v - maxHistory
 	}
 	return e.store.History(ctx, after, maxHistory)
 }
 
-// Status returns the HTTP status code for an editor's error.
-func Status(err error) int {
+// HTTPStatus returns the HTTP status code for an editor's error.
+func HTTPStatus(err error) int {
 	if _, ok := errors.Into[table.Faults](err); ok {
 		return http.StatusUnprocessableEntity
 	}
--- a/internal/tablesync/edit_test.go
+++ b/internal/tablesync/edit_test.go
@@ -67,7 +67,7 @@
 	t        *testing.T
 	platform *standin.Platform
 	editors  map[string]*tablesync.Editor
-	keepers  map[string]*tablesync.Keeper
+	replicas map[string]*tablesync.Replica
 	store    *tablesync.Store
 	// beforeTransact is called once before the next transaction is handled.
 	mu             sync.Mutex
@@ -75,7 +75,7 @@
 }
 
 func newTestSite(t *testing.T) *testSite {
-	o := &testSite{t: t, platform: standin.NewPlatform(), editors: map[string]*tablesync.Editor{}, keepers: map[string]*tablesync.Keeper{}}
+	o := &testSite{t: t, platform: standin.NewPlatform(), editors: map[string]*tablesync.Editor{}, replicas: map[string]*tablesync.Replica{}}
 	handler := o.platform.Handler()
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == platform.PathTransact {
@@ -90,8 +90,8 @@
 	o.store = tablesync.NewStore(platform.NewClient(server.URL, http.DefaultTransport, 5*time.Second))
 	push := func(context.Context, table.Version) (inForce, pending []string) { return nil, nil }
 	for _, name := range []string{"a", "b"} {
-		o.keepers[name] = tablesync.NewKeeper(clock, metric.NewRegistry())
-		o.editors[name] = tablesync.NewEditor(o.keepers[name], o.store, push, clock.Now)
+		o.replicas[name] = tablesync.NewReplica(clock, metric.NewRegistry())
+		o.editors[name] = tablesync.NewEditor(o.replicas[name], o.store, push, clock.Now)
 	}
 	endpoints := []table.Endpoint{
 		{Name: "e", Kind: table.KindEngine, Pool: standin.SampleModel, URL: "http://127.0.0.1:1", Region: "r", Zone: "z", Concurrency: 1},
@@ -129,7 +129,7 @@
 	if s.LoseReply {
 		o.beforeTransact = func() { o.platform.SetFaults(standin.PlatformFaults{LoseReplies: 1}) }
 	}
-	var got *tablesync.Accepted
+	var got *tablesync.EditResult
 	var err error
 	switch {
 	case s.Edit != nil:
@@ -143,7 +143,7 @@
 }
 
 // put replaces the whole table with that of the base version, with one change.
-func (o *testSite) put(by string, r tablesync.RowEdit) (*tablesync.Accepted, error) {
+func (o *testSite) put(by string, r tablesync.RowEdit) (*tablesync.EditResult, error) {
 	t, err := o.store.LoadVersion(context.Background(), r.Base)
 	if err != nil {
 		return nil, err
@@ -155,10 +155,10 @@
 	return o.editors[by].Put(context.Background(), table.Versioned{Version: r.Base, Table: changed}, by)
 }
 
-func (o *testSite) check(i int, want expectation, got *tablesync.Accepted, err error) {
+func (o *testSite) check(i int, want expectation, got *tablesync.EditResult, err error) {
 	o.t.Helper()
 	if want.Status != 0 {
-		if err == nil || tablesync.Status(err) != want.Status || !strings.Contains(err.Error(), want.Error) {
+		if err == nil || tablesync.HTTPStatus(err) != want.Status || !strings.Contains(err.Error(), want.Error) {
 			o.t.Errorf("step %d: got error %v, want status %d with %q", i, err, want.Status, want.Error)
 		}
 		conflict, _ := errors.Into[*tablesync.Conflict](err)
@@ -297,8 +297,8 @@
 func TestStoreWithLostVersions(t *testing.T) {
 	o := newTestSite(t)
 	clock, metrics := clockwork.NewFakeClock(), metric.NewRegistry()
-	k := tablesync.NewKeeper(clock, metrics)
-	data := o.keepers["a"].Newer(0, true).Data
+	k := tablesync.NewReplica(clock, metrics)
+	data := o.replicas["a"].UpdateFor(0, true).Data
 	if err := k.Adopt(7, data); err != nil {
 		t.Fatal(err)
 	}
@@ -338,14 +338,14 @@
 	seconds := func(n int) time.Duration { return time.Duration(n) * time.Second }
 	for _, c := range cases {
 		clock := clockwork.NewFakeClock()
-		k := tablesync.NewKeeper(clock, metric.NewRegistry())
+		k := tablesync.NewReplica(clock, metric.NewRegistry())
 		k.InMinority = func() bool { return c.Minority }
 		clock.Advance(time.Hour)
 		if c.Store != nil {
-			k.HeardStore(clock.Now().Add(-seconds(*c.Store)))
+			k.RecordStoreContact(clock.Now().Add(-seconds(*c.Store)))
 		}
 		if c.Peer != nil {
-			k.HeardPeer(clock.Now().Add(-seconds(*c.Peer)), seconds(c.PeerAge))
+			k.RecordPeerContact(clock.Now().Add(-seconds(*c.Peer)), seconds(c.PeerAge))
 		}
 		if k.Stale() != c.Stale {
 			t.Errorf("%s: stale is %v", c.Name, k.Stale())
@@ -358,26 +358,26 @@
 // only once, and the result must list the hosts that have it.
 func TestPropagation(t *testing.T) {
 	const n = 9
-	keepers := make([]*tablesync.Keeper, n)
-	spreaders := make([]*tablesync.Spreader, n)
+	replicas := make([]*tablesync.Replica, n)
+	spreaders := make([]*tablesync.Propagator, n)
 	var mu sync.Mutex
 	fetches := 0
 	index := func(address string) int { return slices.Index(strings.Split("0 1 2 3 4 5 6 7 8", " "), address) }
 	const failed = 4
 	for i := range n {
-		keepers[i] = tablesync.NewKeeper(clockwork.NewFakeClock(), metric.NewRegistry())
+		replicas[i] = tablesync.NewReplica(clockwork.NewFakeClock(), metric.NewRegistry())
 		name := string(rune('0' + i))
-		spreaders[i] = &tablesync.Spreader{
-			Keeper: keepers[i], Host: name, Count: func(string) {},
+		spreaders[i] = &tablesync.Propagator{
+			Replica: replicas[i], Host: name, Count: func(string) {},
 			Partners: func() []string { return []string{string(rune('0' + (i+1)%n)), string(rune('0' + (i*2+3)%n))} },
-			Tell: func(ctx context.Context, address string, v table.Version) ([]string, error) {
+			Notify: func(ctx context.Context, address string, v table.Version) ([]string, error) {
 				if index(address) == failed {
 					return nil, errors.New("daemon is down")
 				}
-				return spreaders[index(address)].Told(ctx, name, v), nil
+				return spreaders[index(address)].HandleNotification(ctx, name, v), nil
 			},
-			Fetch: func(_ context.Context, address string, newerThan table.Version, whole bool) (tablesync.Fetched, error) {
-				f := keepers[index(address)].Newer(newerThan, whole)
+			Fetch: func(_ context.Context, address string, newerThan table.Version, whole bool) (tablesync.Update, error) {
+				f := replicas[index(address)].UpdateFor(newerThan, whole)
 				if f.Version == 0 {
 					return f, nil
 				}
@@ -389,11 +389,11 @@
 		}
 	}
 	o := newTestSite(t)
-	data := o.keepers["a"].Newer(0, true).Data
-	if err := keepers[0].Adopt(1, data); err != nil {
+	data := o.replicas["a"].UpdateFor(0, true).Data
+	if err := replicas[0].Adopt(1, data); err != nil {
 		t.Fatal(err)
 	}
-	got := spreaders[0].Spread(context.Background(), 1)
+	got := spreaders[0].Propagate(context.Background(), 1)
 	if want := strings.Split("0 1 2 3 5 6 7 8", " "); !slices.Equal(got, want) {
 		t.Errorf("active on %v, want %v", got, want)
 	}
--- a/internal/tablesync/fuzz_test.go
+++ b/internal/tablesync/fuzz_test.go
@@ -9,7 +9,7 @@
 	"github.com/beechhead/beechhead/pkg/table"
 )
 
-// FuzzAdopt checks that no table from a peer or the store crashes the keeper,
+// FuzzAdopt checks that no table from a peer or the store crashes the replica,
 // that only a valid table becomes active, and that the version never decreases.
 func FuzzAdopt(f *testing.F) {
 	valid := []byte(`{"classes":[{"name":"a","weight":1,"pools":["m"],"maxWait":"1s"}],"endpoints":[{"name":"e","kind":"engine","pool":"m","url":"http://10.0.0.1:80","concurrency":1}],"accounts":[]}`)
@@ -17,7 +17,7 @@
 	f.Add(uint64(1), valid, uint64(2), []byte(`{"classes":[{"name":"a"}]}`))
 	f.Add(uint64(1), []byte(`{}`), uint64(1<<63), []byte(`null`))
 	f.Fuzz(func(t *testing.T, v1 uint64, data1 []byte, v2 uint64, data2 []byte) {
-		k := NewKeeper(clockwork.NewFakeClock(), metric.NewRegistry())
+		k := NewReplica(clockwork.NewFakeClock(), metric.NewRegistry())
 		for _, one := range []struct {
 			version uint64
 			data    []byte
--- a/internal/tablesync/patch.go
+++ b/internal/tablesync/patch.go
@@ -19,17 +19,17 @@
 	data     []byte
 }
 
-// Fetched is the response to a peer that has an older version: the whole table
+// Update is the response to a peer that has an older version: the whole table
 // or the patches that lead to it. The zero value means that there is no newer
 // version.
-type Fetched struct {
+type Update struct {
 	Version table.Version
 	// Data is the whole table; it is empty if patches are sent.
 	Data []byte
 	// Patches lead from the requester's version to this one, in order.
 	Patches [][]byte
-	// Sum is the xxHash checksum of the whole table's JSON form.
-	Sum uint64
+	// Checksum is the xxHash checksum of the whole table's JSON form.
+	Checksum uint64
 }
 
 var (
@@ -37,16 +37,16 @@
 	errChecksumMismatch = errors.New("checksum mismatch of the patched table")
 )
 
-// Newer returns the active version for a peer that has an older one: as patches
-// if possible, or the whole table, always if whole is set.
-func (k *Keeper) Newer(than table.Version, whole bool) Fetched {
+// UpdateFor returns the active version for a peer that has an older one: as
+// patches if possible, or the whole table, always if whole is set.
+func (k *Replica) UpdateFor(than table.Version, whole bool) Update {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	v := k.current.Load()
 	if v == nil || v.Version <= than {
-		return Fetched{}
+		return Update{}
 	}
-	f := Fetched{Version: v.Version, Sum: xxhash.Sum64(v.data)}
+	f := Update{Version: v.Version, Checksum: xxhash.Sum64(v.data)}
 	if f.Patches = k.patchesFrom(than); whole || f.Patches == nil {
 		f.Patches = nil
 		f.Data = v.data
@@ -56,7 +56,7 @@
 
 // patchesFrom returns the patches from a version to the active one, or nil if
 // some of them are no longer kept. The caller holds mu.
-func (k *Keeper) patchesFrom(v table.Version) (chain [][]byte) {
+func (k *Replica) patchesFrom(v table.Version) (chain [][]byte) {
 	for _, p := range k.patches {
 		if p.from == v {
 			chain = append(chain, p.data)
@@ -71,7 +71,7 @@
 
 // recordPatch records the patch from the active table to the next one. The
 // caller holds mu.
-func (k *Keeper) recordPatch(from, to *encodedTable) {
+func (k *Replica) recordPatch(from, to *encodedTable) {
 	if from == nil {
 		return
 	}
@@ -89,9 +89,9 @@
 	}
 }
 
-// AdoptFetched activates the table that a peer has sent. If it fails for
+// AdoptUpdate activates the table that a peer has sent. If it fails for
 // patches, the whole table must be requested.
-func (k *Keeper) AdoptFetched(base table.Version, f Fetched) (err error) {
+func (k *Replica) AdoptUpdate(base table.Version, f Update) (err error) {
 	if f.Version <= k.Version() {
 		return nil
 	}
@@ -114,7 +114,7 @@
 	if err != nil {
 		return errors.Wrap(err, "encode patched table")
 	}
-	if xxhash.Sum64(data) != f.Sum {
+	if xxhash.Sum64(data) != f.Checksum {
 		return errChecksumMismatch
 	}
 	return k.Adopt(f.Version, data)
--- a/internal/tablesync/patch_test.go
+++ b/internal/tablesync/patch_test.go
@@ -40,9 +40,9 @@
 	return t
 }
 
-func newTestKeeper() *Keeper { return NewKeeper(clockwork.NewFakeClock(), metric.NewRegistry()) }
+func newTestReplica() *Replica { return NewReplica(clockwork.NewFakeClock(), metric.NewRegistry()) }
 
-func adopt(t *testing.T, k *Keeper, v table.Version, tbl *table.Table) {
+func adopt(t *testing.T, k *Replica, v table.Version, tbl *table.Table) {
 	t.Helper()
 	if err := k.Adopt(v, mustJSON(tbl)); err != nil {
 		t.Fatal(err)
@@ -72,7 +72,7 @@
 // edit must be few regardless of the size of the table.
 func TestPatchesGiveTheSameTable(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	first, second := newTestKeeper(), newTestKeeper()
+	first, second := newTestReplica(), newTestReplica()
 	tbl := tableOf(400)
 	adopt(t, first, 1, tbl)
 	adopt(t, second, 1, tbl)
@@ -83,14 +83,14 @@
 		if edits++; rng.IntN(3) != 0 {
 			continue
 		}
-		f := first.Newer(second.Version(), false)
+		f := first.UpdateFor(second.Version(), false)
 		for _, p := range f.Patches {
 			sent += len(p)
 		}
 		if len(f.Data) > 0 {
 			t.Fatalf("version %d was sent as a whole table", v)
 		}
-		if err := second.AdoptFetched(second.Version(), f); err != nil {
+		if err := second.AdoptUpdate(second.Version(), f); err != nil {
 			t.Fatal(err)
 		}
 		if a, b := string(mustJSON(first.Current().Table)), string(mustJSON(second.Current().Table)); a != b || second.Version() != v {
@@ -113,30 +113,30 @@
 	slices.Reverse(reordered.Accounts)
 	edited := tbl.Clone()
 	edited.Classes[0].Weight = 7
-	for name, prepare := range map[string]func(a, b *Keeper){
-		"reordered": func(a, b *Keeper) {
+	for name, prepare := range map[string]func(a, b *Replica){
+		"reordered": func(a, b *Replica) {
 			adopt(t, a, 1, tbl)
 			adopt(t, b, 1, tbl)
 			adopt(t, a, 2, reordered)
 		},
-		"unknown version": func(a, b *Keeper) {
+		"unknown version": func(a, b *Replica) {
 			adopt(t, b, 1, tbl)
 			adopt(t, a, 5, tbl)
 			adopt(t, a, 6, edited)
 		},
-		"another table of that version": func(a, b *Keeper) {
+		"another table of that version": func(a, b *Replica) {
 			adopt(t, a, 1, tbl)
 			adopt(t, b, 1, reordered)
 			adopt(t, a, 2, edited)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			a, b := newTestKeeper(), newTestKeeper()
+			a, b := newTestReplica(), newTestReplica()
 			prepare(a, b)
-			s := &Spreader{
-				Keeper: b, Host: "b", Count: func(string) {}, Partners: func() []string { return nil },
-				Fetch: func(_ context.Context, _ string, than table.Version, whole bool) (Fetched, error) {
-					return a.Newer(than, whole), nil
+			s := &Propagator{
+				Replica: b, Host: "b", Count: func(string) {}, Partners: func() []string { return nil },
+				Fetch: func(_ context.Context, _ string, than table.Version, whole bool) (Update, error) {
+					return a.UpdateFor(than, whole), nil
 				},
 			}
 			if err := s.FetchFrom(context.Background(), "a"); err != nil {
@@ -153,21 +153,21 @@
 // A peer sends invalid patches or a wrong checksum. The active table must not
 // change.
 func TestInvalidPatchesChangeNothing(t *testing.T) {
-	k := newTestKeeper()
+	k := newTestReplica()
 	adopt(t, k, 1, tableOf(400))
 	good, err := json.Marshal(table.Patch{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, f := range map[string]Fetched{
+	for name, f := range map[string]Update{
 		"no JSON":   {Version: 2, Patches: [][]byte{[]byte("{")}},
-		"wrong sum": {Version: 2, Patches: [][]byte{good}, Sum: 1},
+		"wrong sum": {Version: 2, Patches: [][]byte{good}, Checksum: 1},
 	} {
-		if err := k.AdoptFetched(1, f); err == nil || k.Version() != 1 {
+		if err := k.AdoptUpdate(1, f); err == nil || k.Version() != 1 {
 			t.Errorf("%s: error %v, version %d", name, err, k.Version())
 		}
 	}
-	if err := k.AdoptFetched(0, Fetched{Version: 2, Patches: [][]byte{good}}); err == nil {
+	if err := k.AdoptUpdate(0, Update{Version: 2, Patches: [][]byte{good}}); err == nil {
 		t.Error("patches to another base version were accepted")
 	}
 }
@@ -178,14 +178,14 @@
 	tbl := tableOf(6600)
 	edited := tbl.Clone()
 	edited.Classes[0].Weight = 7
-	source := newTestKeeper()
+	source := newTestReplica()
 	for v, t := range []*table.Table{tbl, edited} {
 		if err := source.Adopt(table.Version(v+1), mustJSON(t)); err != nil {
 			b.Fatal(err)
 		}
 	}
 	for _, whole := range []bool{true, false} {
-		f := source.Newer(1, whole)
+		f := source.UpdateFor(1, whole)
 		name, sent := "whole", len(f.Data)
 		if !whole {
 			name, sent = "patches", len(f.Patches[0])
@@ -193,12 +193,12 @@
 		b.Run(name, func(b *testing.B) {
 			for b.Loop() {
 				b.StopTimer()
-				k := newTestKeeper()
+				k := newTestReplica()
 				if err := k.Adopt(1, mustJSON(tbl)); err != nil {
 					b.Fatal(err)
 				}
 				b.StartTimer()
-				if err := k.AdoptFetched(1, f); err != nil {
+				if err := k.AdoptUpdate(1, f); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/tablesync/poll.go
+++ b/internal/tablesync/poll.go
@@ -15,7 +15,7 @@
 
 // Poll reads the head version until ctx is done. The jitter prevents daemons
 // that start at the same time from reading at the same time.
-func (k *Keeper) Poll(ctx context.Context, s *Store) {
+func (k *Replica) Poll(ctx context.Context, s *Store) {
 	for {
 		if err := k.Refresh(ctx, s); err != nil {
 			k.metrics.Inc("table.pollFailed")
@@ -30,7 +30,7 @@
 }
 
 // Refresh reads the head version once and adopts the table if it is newer.
-func (k *Keeper) Refresh(ctx context.Context, s *Store) error {
+func (k *Replica) Refresh(ctx context.Context, s *Store) error {
 	sent := k.clock.Now()
 	k.metrics.Inc(pollMessages)
 	version, object, err := s.Head(ctx)
@@ -41,7 +41,7 @@
 	if version < k.Version() {
 		k.metrics.Inc("table.storeOlder")
 	}
-	if version > k.Version() && !k.FromPeers(ctx, version) {
+	if version > k.Version() && !k.FetchFromPeers(ctx, version) {
 		data, err := s.Load(ctx, object)
 		if err != nil {
 			return err
@@ -53,7 +53,7 @@
 	// A store that has lost versions does not show whether there are versions
 	// newer than the active one.
 	if version >= k.Version() {
-		k.HeardStore(sent)
+		k.RecordStoreContact(sent)
 	}
 	return nil
 }
--- a/internal/tablesync/spread.go
+++ b/internal/tablesync/propagate.go
@@ -15,22 +15,22 @@
 // notified it times out.
 const hopMargin = 100 * time.Millisecond
 
-// Spreader propagates versions among the daemons. Each daemon notifies its
+// Propagator propagates versions among the daemons. Each daemon notifies its
 // partners once of a version, those that lack it fetch it from the notifying
 // daemon, and the responses report which hosts have it. All fields must be set
 // before it is used. It is safe for concurrent use.
-type Spreader struct {
-	Keeper *Keeper
+type Propagator struct {
+	Replica *Replica
 	// Host is the id of this host.
 	Host string
 	// Partners returns the peer addresses to notify.
 	Partners func() []string
-	// Tell notifies a daemon of a version and returns the hosts on which it is
-	// active, as far as that daemon knows.
-	Tell func(ctx context.Context, address string, v table.Version) (hosts []string, err error)
+	// Notify notifies a daemon of a version and returns the hosts on which it
+	// is active, as far as that daemon knows.
+	Notify func(ctx context.Context, address string, v table.Version) (hosts []string, err error)
 	// Fetch returns the version of a daemon if it is newer than the given one;
 	// if whole is set, as a whole table and not as patches.
-	Fetch func(ctx context.Context, address string, newerThan table.Version, whole bool) (Fetched, error)
+	Fetch func(ctx context.Context, address string, newerThan table.Version, whole bool) (Update, error)
 	// Count increments the counter of that name.
 	Count func(name string)
 
@@ -43,9 +43,9 @@
 	notified table.Version
 }
 
-// Spread notifies the partners of a version that is active here, unless they
+// Propagate notifies the partners of a version that is active here, unless they
 // were notified already. It returns the hosts on which the version is active.
-func (s *Spreader) Spread(ctx context.Context, v table.Version) (hosts []string) {
+func (s *Propagator) Propagate(ctx context.Context, v table.Version) (hosts []string) {
 	hosts = []string{s.Host}
 	if !s.markNotified(v) {
 		return hosts
@@ -54,7 +54,7 @@
 	var wg sync.WaitGroup
 	for _, address := range s.Partners() {
 		wg.Go(func() {
-			reached, err := s.Tell(ctx, address, v)
+			reached, err := s.Notify(ctx, address, v)
 			if err != nil {
 				s.Count("table.tellFailed")
 			}
@@ -70,7 +70,7 @@
 
 // markNotified records that the partners are being notified of a version. It
 // returns false if they were notified of it already.
-func (s *Spreader) markNotified(v table.Version) bool {
+func (s *Propagator) markNotified(v table.Version) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if v <= s.notified {
@@ -80,19 +80,19 @@
 	return true
 }
 
-// Told handles the notification that a version is active on a daemon: it
-// fetches the version from there and propagates it. It returns the hosts on
-// which the version is active.
-func (s *Spreader) Told(ctx context.Context, address string, v table.Version) []string {
+// HandleNotification handles the notification that a version is active on a
+// daemon: it fetches the version from there and propagates it. It returns the
+// hosts on which the version is active.
+func (s *Propagator) HandleNotification(ctx context.Context, address string, v table.Version) []string {
 	ctx, cancel := withEarlierDeadline(ctx, hopMargin)
 	defer cancel()
 	if err := s.FetchFrom(ctx, address); err != nil {
 		s.Count("table.fetchFailed")
 	}
-	if s.Keeper.Version() < v {
+	if s.Replica.Version() < v {
 		return nil
 	}
-	return s.Spread(ctx, v)
+	return s.Propagate(ctx, v)
 }
 
 // withEarlierDeadline returns a context whose deadline is before that of ctx by
@@ -106,7 +106,7 @@
 }
 
 // FetchFrom fetches the table of a daemon and activates it if it is newer.
-func (s *Spreader) FetchFrom(ctx context.Context, address string) (err error) {
+func (s *Propagator) FetchFrom(ctx context.Context, address string) (err error) {
 	defer func() {
 		if err != nil {
 			err = errors.Wrapf(err, "fetch table from %s", address)
@@ -114,18 +114,18 @@
 	}()
 	s.fetchMu.Lock()
 	defer s.fetchMu.Unlock()
-	base := s.Keeper.Version()
+	base := s.Replica.Version()
 	f, err := s.Fetch(ctx, address, base, false)
 	if err != nil {
 		return err
 	}
-	if err := s.Keeper.AdoptFetched(base, f); err == nil || len(f.Patches) == 0 {
+	if err := s.Replica.AdoptUpdate(base, f); err == nil || len(f.Patches) == 0 {
 		return err
 	}
 	s.Count("table.patchFailed")
-	f, err = s.Fetch(ctx, address, s.Keeper.Version(), true)
+	f, err = s.Fetch(ctx, address, s.Replica.Version(), true)
 	if err != nil {
 		return err
 	}
-	return s.Keeper.AdoptFetched(base, f)
+	return s.Replica.AdoptUpdate(base, f)
 }
--- a/internal/tablesync/keeper.go
+++ b/internal/tablesync/replica.go
@@ -31,18 +31,19 @@
 // before start.
 const neverContacted = -int64(24 * time.Hour)
 
-// Keeper holds the active table. It is safe for concurrent use.
-type Keeper struct {
+// Replica is this daemon's copy of the active table. It is safe for concurrent
+// use.
+type Replica struct {
 	clock   clockwork.Clock
 	metrics *metric.Registry
 	current atomic.Pointer[encodedTable]
 	// InMinority reports whether this daemon is in contact with fewer than half
-	// of the known hosts. It must be set before the keeper is used.
+	// of the known hosts. It must be set before the replica is used.
 	InMinority func() bool
-	// FromPeers tries to activate a version that a peer has, and reports
+	// FetchFromPeers tries to activate a version that a peer has, and reports
 	// whether it did, so that not every daemon loads it from the store. It must
-	// be set before the keeper is used.
-	FromPeers func(ctx context.Context, v table.Version) bool
+	// be set before the replica is used.
+	FetchFromPeers func(ctx context.Context, v table.Version) bool
 	// start is the origin of the contact times below, so that steps of the wall
 	// clock do not affect them.
 	start time.Time
@@ -59,10 +60,10 @@
 	patches []patch
 }
 
-// NewKeeper returns a keeper without a table.
-func NewKeeper(clock clockwork.Clock, metrics *metric.Registry) *Keeper {
-	k := &Keeper{clock: clock, metrics: metrics, start: clock.Now(), InMinority: func() bool { return false }}
-	k.FromPeers = func(context.Context, table.Version) bool { return false }
+// NewReplica returns a replica without a table.
+func NewReplica(clock clockwork.Clock, metrics *metric.Registry) *Replica {
+	k := &Replica{clock: clock, metrics: metrics, start: clock.Now(), InMinority: func() bool { return false }}
+	k.FetchFromPeers = func(context.Context, table.Version) bool { return false }
 	k.store.Store(neverContacted)
 	k.peer.Store(neverContacted)
 	return k
@@ -70,14 +71,14 @@
 
 // Watch registers f to be called with each table that becomes active. It must
 // be called before the first table is adopted.
-func (k *Keeper) Watch(f func(*table.Versioned)) {
+func (k *Replica) Watch(f func(*table.Versioned)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.watchers = append(k.watchers, f)
 }
 
 // Current returns the active table, or nil if there is none yet.
-func (k *Keeper) Current() *table.Versioned {
+func (k *Replica) Current() *table.Versioned {
 	if v := k.current.Load(); v != nil {
 		return &v.Versioned
 	}
@@ -85,20 +86,20 @@
 }
 
 // Version returns the active version, or zero if there is none yet.
-func (k *Keeper) Version() table.Version {
+func (k *Replica) Version() table.Version {
 	if v := k.current.Load(); v != nil {
 		return v.Version
 	}
 	return 0
 }
 
-// HeardStore records that the store confirmed the active version in its
+// RecordStoreContact records that the store confirmed the active version in its
 // response to a request sent at the given time.
-func (k *Keeper) HeardStore(sent time.Time) { storeMax(&k.store, sent.Sub(k.start)) }
+func (k *Replica) RecordStoreContact(sent time.Time) { storeMax(&k.store, sent.Sub(k.start)) }
 
-// HeardPeer records that a peer without a newer table responded to a request
-// sent at the given time and reported its StoreAge as storeAge.
-func (k *Keeper) HeardPeer(sent time.Time, storeAge time.Duration) {
+// RecordPeerContact records that a peer without a newer table responded to a
+// request sent at the given time and reported its StoreAge as storeAge.
+func (k *Replica) RecordPeerContact(sent time.Time, storeAge time.Duration) {
 	storeMax(&k.peer, sent.Sub(k.start))
 	storeMax(&k.store, sent.Add(-storeAge).Sub(k.start))
 }
@@ -114,9 +115,9 @@
 
 // StoreAge returns the time since the store was last read, by this daemon or by
 // a peer that reported it.
-func (k *Keeper) StoreAge() time.Duration { return k.age(&k.store) }
+func (k *Replica) StoreAge() time.Duration { return k.age(&k.store) }
 
-func (k *Keeper) age(at *atomic.Int64) time.Duration {
+func (k *Replica) age(at *atomic.Int64) time.Duration {
 	return k.clock.Since(k.start) - time.Duration(at.Load())
 }
 
@@ -126,7 +127,7 @@
 // edits as well. But a few hosts that are partitioned together would confirm
 // each other indefinitely, so peers count only while this daemon is in contact
 // with at least half of the known hosts.
-func (k *Keeper) Stale() bool {
+func (k *Replica) Stale() bool {
 	if k.StoreAge() <= StaleAfter {
 		return false
 	}
@@ -135,7 +136,7 @@
 
 // Adopt activates a table if it is newer than the active one. An older table
 // changes nothing, because an accepted edit must never be reverted.
-func (k *Keeper) Adopt(version table.Version, data []byte) (err error) {
+func (k *Replica) Adopt(version table.Version, data []byte) (err error) {
 	defer func() {
 		if err != nil {
 			err = errors.Wrapf(err, "adopt table version %d", version)
@@ -156,7 +157,7 @@
 	return nil
 }
 
-func (k *Keeper) activate(v *encodedTable) {
+func (k *Replica) activate(v *encodedTable) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if v.Version <= k.Version() {
--- a/internal/tablesync/store.go
+++ b/internal/tablesync/store.go
@@ -30,8 +30,8 @@
 	EditID string `json:"editId"`
 }
 
-// Entry is one accepted edit.
-type Entry struct {
+// HistoryEntry is one accepted edit.
+type HistoryEntry struct {
 	Version  table.Version `json:"version"`
 	EditID   string        `json:"editId"`
 	Operator string        `json:"operator"`
@@ -49,10 +49,10 @@
 	ErrConflict = errors.New("other edits were accepted first")
 	// ErrIDUsed means that another edit has the same id.
 	ErrIDUsed = errors.New("the edit id belongs to another edit")
-	// ErrUnknown means that the edit may or may not have been accepted.
+	// ErrOutcomeUnknown means that the edit may or may not have been accepted.
 	// Repeating it with the same edit id resolves this and can't apply it
 	// twice.
-	ErrUnknown = errors.New("the store did not say whether it accepted the edit; repeat it with the same edit id")
+	ErrOutcomeUnknown = errors.New("the store did not say whether it accepted the edit; repeat it with the same edit id")
 	// ErrStoreOlder means that all versions in the store are older than the
 	// active one, so that no edit can be based on them.
 	ErrStoreOlder = errors.New("the store is older than the table in force")
@@ -90,9 +90,9 @@
 	return s.client.GetObject(ctx, object)
 }
 
-// Accepted returns the version under which an edit was accepted earlier, or
-// zero.
-func (s *Store) Accepted(ctx context.Context, e Entry) (version table.Version, err error) {
+// AcceptedVersion returns the version under which an edit was accepted earlier,
+// or zero.
+func (s *Store) AcceptedVersion(ctx context.Context, e HistoryEntry) (version table.Version, err error) {
 	rows, err := s.client.Read(ctx, editKey(e.EditID))
 	if err != nil {
 		return 0, errors.Wrap(err, "read edit")
@@ -102,11 +102,11 @@
 
 // acceptedVersion returns the version in an edit's row, or zero if there is no
 // such row.
-func acceptedVersion(row platform.Row, e Entry) (table.Version, error) {
+func acceptedVersion(row platform.Row, e HistoryEntry) (table.Version, error) {
 	if row.Version == 0 {
 		return 0, nil
 	}
-	var earlier Entry
+	var earlier HistoryEntry
 	if err := json.Unmarshal(row.Value, &earlier); err != nil {
 		return 0, errors.Wrap(err, "decode edit")
 	}
@@ -118,13 +118,13 @@
 
 // Put stores t as the version after base. With errRepeated, the returned
 // version is the one under which the same edit was accepted before. ErrConflict
-// means that another edit was accepted first, ErrUnknown that the edit may have
-// been accepted; after any other error it was not accepted.
+// means that another edit was accepted first, ErrOutcomeUnknown that the edit
+// may have been accepted; after any other error it was not accepted.
 //
 // The response can be lost after the write took effect. The same transaction is
 // then sent again: it expects the row of the edit id to be absent, so it can't
 // take effect twice, and the returned rows show which of the two happened.
-func (s *Store) Put(ctx context.Context, base table.Version, t *table.Table, e Entry) (version table.Version, err error) {
+func (s *Store) Put(ctx context.Context, base table.Version, t *table.Table, e HistoryEntry) (version table.Version, err error) {
 	h := head{Object: objectPrefix + rand.Text(), EditID: e.EditID}
 	if err := s.putObject(ctx, h.Object, mustJSON(t)); err != nil {
 		return 0, errors.Wrap(err, "store table")
@@ -138,7 +138,7 @@
 	)
 	switch {
 	case err != nil:
-		return 0, errors.Wrapf(ErrUnknown, "edit id %s: %s", e.EditID, err)
+		return 0, errors.Wrapf(ErrOutcomeUnknown, "edit id %s: %s", e.EditID, err)
 	case resp.Committed:
 		return e.Version, nil
 	}
@@ -147,7 +147,7 @@
 
 // notCommittedError determines from the rows why a put was not committed, and
 // deletes its object unless an earlier attempt of the same put was committed.
-func (s *Store) notCommittedError(ctx context.Context, base table.Version, e Entry, rows []platform.Row) (table.Version, error) {
+func (s *Store) notCommittedError(ctx context.Context, base table.Version, e HistoryEntry, rows []platform.Row) (table.Version, error) {
 	version, err := acceptedVersion(rows[2], e)
 	switch {
 	case err != nil:
@@ -158,7 +158,7 @@
 	default:
 		err = ErrConflict
 	}
-	var earlier Entry
+	var earlier HistoryEntry
 	if rows[2].Version == 0 || (json.Unmarshal(rows[2].Value, &earlier) == nil && earlier.Object != e.Object) {
 		_ = s.client.DeleteObject(ctx, e.Object)
 	}
@@ -209,7 +209,7 @@
 }
 
 // History returns up to limit accepted edits after a version, oldest first.
-func (s *Store) History(ctx context.Context, after table.Version, limit int) (entries []Entry, err error) {
+func (s *Store) History(ctx context.Context, after table.Version, limit int) (entries []HistoryEntry, err error) {
 	rows, err := s.client.Scan(ctx, platform.ScanRequest{
 		Table: historyTable, After: historyKey(after).Key, Limit: limit,
 	})
@@ -217,7 +217,7 @@
 		return nil, errors.Wrap(err, "scan history")
 	}
 	for _, row := range rows {
-		var e Entry
+		var e HistoryEntry
 		if err := json.Unmarshal(row.Value, &e); err != nil {
 			return nil, errors.Wrap(err, "decode history")
 		}
--- a/internal/tablesync/version.go
+++ b/internal/tablesync/version.go
@@ -33,7 +33,7 @@
 	return t, json.Unmarshal(data, t)
 }
 
-func (s *Store) entry(ctx context.Context, v table.Version) (e Entry, err error) {
+func (s *Store) entry(ctx context.Context, v table.Version) (e HistoryEntry, err error) {
 	rows, err := s.client.Read(ctx, historyKey(v))
 	if err != nil {
 		return e, err
