--- a/internal/attainment/recorder_test.go
+++ b/internal/attainment/recorder_test.go
@@ -53,7 +53,7 @@
 	q := r.Begin(&table.Class{Name: "a", Target: c.Target})
 	for _, at := range c.TokensAt {
 		clock.Advance(at.Std() - clock.Since(start))
-		q.Token()
+		q.RecordToken()
 	}
 	clock.Advance(c.EndAt.Std() - clock.Since(start))
 	if c.Reason == "" {
@@ -73,7 +73,7 @@
 	if s := r.Status()["a"]; s.Waiting != 1 || s.Running != 0 {
 		t.Errorf("before the first token: %+v", s)
 	}
-	q.Token()
+	q.RecordToken()
 	if s := r.Status()["a"]; s.Waiting != 0 || s.Running != 1 {
 		t.Errorf("after the first token: %+v", s)
 	}
--- a/internal/attainment/request.go
+++ b/internal/attainment/request.go
@@ -35,8 +35,8 @@
 	return &Request{recorder: r, class: class.Name, target: class.Target, beganAt: r.clock.Now()}
 }
 
-// Token records that a token was delivered.
-func (q *Request) Token() {
+// RecordToken records that a token was delivered.
+func (q *Request) RecordToken() {
 	now := q.recorder.clock.Now()
 	q.tokens++
 	if q.tokens == 1 {
--- a/internal/caller/chat.go
+++ b/internal/caller/chat.go
@@ -99,7 +99,7 @@
 			return nil
 		}
 		if chunk.Text() != "" {
-			record.Token()
+			record.RecordToken()
 		}
 		return w.writeEvent(data)
 	})
--- a/internal/caller/completion.go
+++ b/internal/caller/completion.go
@@ -38,12 +38,12 @@
 func (g *completion) addChunk(data []byte) error {
 	var top map[string]json.RawMessage
 	if err := json.Unmarshal(data, &top); err != nil {
-		return errors.Wrap(engine.ErrGarbage, err.Error())
+		return errors.Wrap(engine.ErrMalformed, err.Error())
 	}
 	var choices []map[string]any
 	if raw, ok := top["choices"]; ok {
 		if err := json.Unmarshal(raw, &choices); err != nil {
-			return errors.Wrap(engine.ErrGarbage, err.Error())
+			return errors.Wrap(engine.ErrMalformed, err.Error())
 		}
 	}
 	delete(top, "choices")
@@ -160,7 +160,7 @@
 	var text strings.Builder
 	err := s.Dispatcher.Chat(c.Request().Context(), chat, func(data []byte, chunk *engine.Chunk) error {
 		if piece := chunk.Text(); piece != "" {
-			record.Token()
+			record.RecordToken()
 			text.WriteString(piece)
 		}
 		return g.addChunk(data)
--- a/internal/caller/refuse.go
+++ b/internal/caller/refuse.go
@@ -97,7 +97,7 @@
 // changed; a streamed response then ends with an error event instead.
 func (s *Server) handleError(c *echo.Context, err error) {
 	refusal := refusalOf(err)
-	s.Metrics.Refused(refusal.Reason)
+	s.Metrics.CountRefusal(refusal.Reason)
 	if resp, unwrapErr := echo.UnwrapResponse(c.Response()); unwrapErr == nil && resp.Committed {
 		return
 	}
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -32,12 +32,12 @@
 		defer func() { _ = f.Close() }()
 		logs = append(logs, f)
 	}
-	story, err := logline.Tell(c.Arguments.Request, logs...)
+	trace, err := logline.ReadTrace(c.Arguments.Request, logs...)
 	if err != nil {
 		return err
 	}
-	story.Write(c.out)
-	if len(story.Entries) == 0 {
+	trace.Write(c.out)
+	if len(trace.Entries) == 0 {
 		return errNoLines
 	}
 	return nil
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -204,7 +204,7 @@
 		a.id = c.ID
 	}
 	if c.ID != a.id {
-		return errors.Wrap(engine.ErrWrongAnswer, "the id changed within the stream")
+		return errors.Wrap(engine.ErrWrongResponse, "the id changed within the stream")
 	}
 	return nil
 }
@@ -256,7 +256,7 @@
 		return outcome.ReasonSilent
 	case errors.Is(err, engine.ErrTruncated):
 		return outcome.ReasonTruncated
-	case errors.Is(err, engine.ErrWrongAnswer), errors.Is(err, engine.ErrGarbage):
+	case errors.Is(err, engine.ErrWrongResponse), errors.Is(err, engine.ErrMalformed):
 		return outcome.ReasonWrongAnswer
 	}
 	return outcome.ReasonEndpointFailed
--- a/internal/dispatch/budget.go
+++ b/internal/dispatch/budget.go
@@ -55,6 +55,6 @@
 		d.metrics.Inc("retryBudget.exhausted")
 		return false
 	}
-	d.metrics.Retried(outcome.ReasonConnectionLost)
+	d.metrics.CountRetry(outcome.ReasonConnectionLost)
 	return true
 }
--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -127,7 +127,7 @@
 		r.d.metrics.Inc("retryBudget.exhausted")
 		return r.refusal(outcome.ReasonRetryBudget, "too many requests of the class fail at the moment: "+err.Error())
 	}
-	r.d.metrics.Retried(reason)
+	r.d.metrics.CountRetry(reason)
 	return nil
 }
 
@@ -159,7 +159,7 @@
 		return outcome.ReasonSilent
 	case errors.Is(err, service.ErrTruncated):
 		return outcome.ReasonTruncated
-	case errors.Is(err, service.ErrWrongAnswer):
+	case errors.Is(err, service.ErrWrongResponse):
 		return outcome.ReasonWrongAnswer
 	}
 	return outcome.ReasonEndpointFailed
--- a/internal/dispatch/chat.go
+++ b/internal/dispatch/chat.go
@@ -120,7 +120,7 @@
 
 // countRetry counts a retry by its reason.
 func (r *chatRun) countRetry(reason outcome.Reason) {
-	r.d.metrics.Retried(reason)
+	r.d.metrics.CountRetry(reason)
 	if exemptFromBudget(reason) {
 		r.preempted++
 	}
--- a/internal/dispatch/response.go
+++ b/internal/dispatch/response.go
@@ -29,10 +29,10 @@
 	if r.id == "" {
 		r.id = c.ID
 	}
-	if c.Opaque() {
+	if c.HasNonTextParts() {
 		r.opaque = true
 	}
-	if c.Finished() {
+	if c.HasFinishReason() {
 		r.finished = true
 	}
 	text := c.Text()
@@ -61,7 +61,7 @@
 func (r *response) rewrite(data []byte, c *engine.Chunk) ([]byte, error) {
 	fields := map[string]json.RawMessage{}
 	if err := json.Unmarshal(data, &fields); err != nil {
-		return nil, errors.Wrap(engine.ErrGarbage, err.Error())
+		return nil, errors.Wrap(engine.ErrMalformed, err.Error())
 	}
 	c.ID = r.id
 	id, err := json.Marshal(c.ID)
--- a/internal/engine/chunk.go
+++ b/internal/engine/chunk.go
@@ -47,13 +47,13 @@
 // ParseChunk parses the data of an event.
 func ParseChunk(data []byte) (c Chunk, err error) {
 	if err := json.Unmarshal(data, &c); err != nil {
-		return c, errors.Wrap(ErrGarbage, err.Error())
+		return c, errors.Wrap(ErrMalformed, err.Error())
 	}
 	if len(c.Error) > 0 && string(c.Error) != "null" {
 		return c, ErrFailed
 	}
 	if c.Choices == nil && c.Usage == nil {
-		return c, errors.Wrap(ErrGarbage, "neither choices nor usage")
+		return c, errors.Wrap(ErrMalformed, "neither choices nor usage")
 	}
 	return c, nil
 }
@@ -66,9 +66,9 @@
 	return c.Choices[0].Delta.Content
 }
 
-// Opaque reports whether the chunk has parts other than the text of a single
+// HasNonTextParts reports whether the chunk has parts other than the text of a single
 // choice.
-func (c *Chunk) Opaque() bool {
+func (c *Chunk) HasNonTextParts() bool {
 	for i := range c.Choices {
 		d := &c.Choices[i].Delta
 		calls := len(d.Calls) > 0 && string(d.Calls) != "null"
@@ -79,7 +79,7 @@
 	return false
 }
 
-// Finished reports whether the chunk has a finish reason.
-func (c *Chunk) Finished() bool {
+// HasFinishReason reports whether the chunk has a finish reason.
+func (c *Chunk) HasFinishReason() bool {
 	return len(c.Choices) > 0 && c.Choices[0].FinishReason != nil && *c.Choices[0].FinishReason != ""
 }
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -45,8 +45,8 @@
 	ErrRefused = errors.New("the engine refused the request")
 	// ErrTruncated means that the stream ended without its end marker.
 	ErrTruncated = errors.New("the engine's answer is cut off")
-	// ErrWrongAnswer means that the response belongs to another request.
-	ErrWrongAnswer = errors.New("the engine answered another request")
+	// ErrWrongResponse means that the response belongs to another request.
+	ErrWrongResponse = errors.New("the engine answered another request")
 	// ErrSilent means that nothing was received before the progress deadline.
 	ErrSilent = endpoint.ErrSilent
 	// ErrNoLoad means that the engine responded but does not report its load.
@@ -148,7 +148,7 @@
 	case resp.StatusCode != http.StatusOK:
 		return errors.Errorf("engine status %d", resp.StatusCode)
 	case e.EchoesID && resp.Header.Get(HeaderRequestID) != id:
-		return ErrWrongAnswer
+		return ErrWrongResponse
 	}
 	return nil
 }
@@ -164,7 +164,7 @@
 	case err != nil && s.timedOut():
 		s.response.DiscardStalled()
 		return nil, ErrSilent
-	case errors.Is(err, ErrGarbage):
+	case errors.Is(err, ErrMalformed):
 		return nil, err
 	case err != nil:
 		return nil, errors.Wrap(ErrTruncated, err.Error())
--- a/internal/engine/faults_test.go
+++ b/internal/engine/faults_test.go
@@ -116,7 +116,7 @@
 	}
 	for name, known := range map[string]error{
 		"notSent": engine.ErrNotSent, "refused": engine.ErrRefused, "silent": engine.ErrSilent,
-		"truncated": engine.ErrTruncated, "wrongAnswer": engine.ErrWrongAnswer,
+		"truncated": engine.ErrTruncated, "wrongAnswer": engine.ErrWrongResponse,
 	} {
 		if errors.Is(err, known) {
 			return name
--- a/internal/engine/order.go
+++ b/internal/engine/order.go
@@ -18,10 +18,10 @@
 
 // Errors of orders.
 var (
-	// ErrOldFence means that the engine has seen a larger fencing number.
-	ErrOldFence = errors.New("the engine has seen a larger fencing number")
-	// ErrNoOrders means that the engine does not support orders.
-	ErrNoOrders = errors.New("the engine does not support orders")
+	// ErrStaleFence means that the engine has seen a larger fencing number.
+	ErrStaleFence = errors.New("the engine has seen a larger fencing number")
+	// ErrOrdersUnsupported means that the engine does not support orders.
+	ErrOrdersUnsupported = errors.New("the engine does not support orders")
 )
 
 // Order is the state that an engine should reach. It describes the target
@@ -50,8 +50,8 @@
 	return s.Model == o.Model && slices.Equal(slices.Sorted(slices.Values(s.Adapters)), o.Adapters)
 }
 
-// WantedOrder returns the order for a row of the table.
-func WantedOrder(e *table.Endpoint) Order {
+// OrderFor returns the order for a row of the table.
+func OrderFor(e *table.Endpoint) Order {
 	return Order{Model: string(e.Pool), Adapters: append([]string{}, slices.Sorted(slices.Values(e.Adapters))...)}
 }
 
@@ -64,7 +64,8 @@
 }
 
 // Order tells an engine which state it should reach. After any error but
-// ErrOldFence and ErrNoOrders, the engine may still carry out the order.
+// ErrStaleFence and ErrOrdersUnsupported, the engine may still carry out the
+// order.
 func (c *Client) Order(ctx context.Context, e *table.Endpoint, o Order) (err error) {
 	defer func() {
 		if err != nil {
@@ -92,9 +93,9 @@
 	case http.StatusOK, http.StatusAccepted:
 		return json.NewDecoder(io.LimitReader(response.Body, maxReportSize)).Decode(state)
 	case http.StatusConflict:
-		return ErrOldFence
+		return ErrStaleFence
 	case http.StatusNotFound, http.StatusMethodNotAllowed, http.StatusNotImplemented:
-		return ErrNoOrders
+		return ErrOrdersUnsupported
 	}
 	return errors.Errorf("unexpected status %d", response.StatusCode)
 }
--- a/internal/engine/sse.go
+++ b/internal/engine/sse.go
@@ -11,8 +11,8 @@
 // maxEventSize bounds an event of a stream, in bytes.
 const maxEventSize = 1 << 20
 
-// ErrGarbage means that the response is not a valid event stream.
-var ErrGarbage = errors.New("the engine's stream is malformed")
+// ErrMalformed means that the response is not a valid event stream.
+var ErrMalformed = errors.New("the engine's stream is malformed")
 
 // eventReader reads server-sent events that have data fields. Lines end in LF
 // or CRLF. A line that is not a valid field is an error, because the response
@@ -78,7 +78,7 @@
 	err := r.scanner.Err()
 	switch {
 	case errors.Is(err, bufio.ErrTooLong):
-		return errors.Wrap(ErrGarbage, "a line beyond the bound")
+		return errors.Wrap(ErrMalformed, "a line beyond the bound")
 	case err != nil:
 		return err
 	case len(r.data) > 0:
@@ -93,7 +93,7 @@
 	if bytes.Equal(name, dataField) {
 		value = bytes.TrimPrefix(value, []byte(" "))
 		if len(r.data)+len(value) >= maxEventSize {
-			return errors.Wrap(ErrGarbage, "an event beyond the bound")
+			return errors.Wrap(ErrMalformed, "an event beyond the bound")
 		}
 		r.data = append(r.data, value...)
 		r.data = append(r.data, '\n')
@@ -104,5 +104,5 @@
 			return nil
 		}
 	}
-	return errors.Wrapf(ErrGarbage, "line of %d bytes", len(line))
+	return errors.Wrapf(ErrMalformed, "line of %d bytes", len(line))
 }
--- a/internal/engine/sse_test.go
+++ b/internal/engine/sse_test.go
@@ -49,7 +49,7 @@
 	long := strings.Repeat("x", maxEventSize/4)
 	for _, stream := range []string{"data: " + strings.Repeat(long, 5) + "\n\n", strings.Repeat("data: "+long+"\n", 5) + "\n"} {
 		events, err := readAll(strings.NewReader(stream))
-		if len(events) > 0 || !errors.Is(err, ErrGarbage) {
+		if len(events) > 0 || !errors.Is(err, ErrMalformed) {
 			t.Errorf("%d events, end %v", len(events), err)
 		}
 	}
@@ -111,10 +111,10 @@
 	for data, want := range map[string]error{
 		`{"error":{"message":"out of memory"}}`: ErrFailed,
 		`{"error":null,"choices":[]}`:           nil,
-		`{}`:                                    ErrGarbage,
-		`null`:                                  ErrGarbage,
-		`[]`:                                    ErrGarbage,
-		`{"choices":`:                           ErrGarbage,
+		`{}`:                                    ErrMalformed,
+		`null`:                                  ErrMalformed,
+		`[]`:                                    ErrMalformed,
+		`{"choices":`:                           ErrMalformed,
 	} {
 		if _, err := ParseChunk([]byte(data)); !errors.Is(err, want) {
 			t.Errorf("%s: %v, want %v", data, err, want)
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -52,7 +52,7 @@
 
 // readResponse reads the response and forwards it.
 func (r *run) readResponse(ctx context.Context, x *http1.Exchange, grant *placement.Grant) attemptResult {
-	x.Patience(r.silenceTimeout(targetsUntilSilent * r.req.StartTarget))
+	x.SetReadTimeout(r.silenceTimeout(targetsUntilSilent * r.req.StartTarget))
 	resp, err := x.Response() //nolint:bodyclose // the exchange manages its connection; closing the body would read it to the end
 	if err != nil {
 		return failedResult(readFailureReason(ctx, err), err)
@@ -156,7 +156,7 @@
 		return outcome.ReasonSilent
 	case errors.Is(err, io.ErrUnexpectedEOF):
 		return outcome.ReasonTruncated
-	case errors.Is(err, http1.ErrForeign):
+	case errors.Is(err, http1.ErrForeignResponse):
 		return outcome.ReasonWrongAnswer
 	}
 	return outcome.ReasonConnectionLost
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -30,7 +30,7 @@
 		go r.f.recheck(r.req.Fingerprint, *endpoint)
 		return false
 	}
-	return lost && r.f.Pool.Ended(ctx, address(endpoint))
+	return lost && r.f.Pool.HasTerminated(ctx, address(endpoint))
 }
 
 // recheckDelay is how long after an aborted request its endpoint is checked. If
@@ -44,7 +44,7 @@
 	<-f.Clock.After(recheckDelay)
 	ctx, cancel := context.WithTimeout(context.Background(), recheckDelay)
 	defer cancel()
-	if f.Pool.Alive(address(&endpoint)) || !f.Pool.Ended(ctx, address(&endpoint)) {
+	if f.Pool.Alive(address(&endpoint)) || !f.Pool.HasTerminated(ctx, address(&endpoint)) {
 		return
 	}
 	f.Metrics.Inc("attempts.endpointEnded")
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -276,7 +276,7 @@
 		r.f.Metrics.Inc("retryBudget.exhausted")
 		return false
 	}
-	r.f.Metrics.Retried(e.reason)
+	r.f.Metrics.CountRetry(e.reason)
 	return true
 }
 
@@ -349,13 +349,13 @@
 		send.FetchFrom = address(grant.FetchFrom)
 	}
 	x, err := r.f.Pool.Send(ctx, address(endpoint), &http1.Request{
-		Method: r.req.Method,
-		Target: r.req.Target,
-		Host:   r.req.Host,
-		Header: r.f.Protocol.Header(send),
-		Body:   r.req.Body,
-		Check:  func() error { return r.checkWrite(endpoint) },
-		Mine:   func(h http.Header) bool { return r.f.Protocol.BelongsTo(r.req, h) },
+		Method:        r.req.Method,
+		Target:        r.req.Target,
+		Host:          r.req.Host,
+		Header:        r.f.Protocol.Header(send),
+		Body:          r.req.Body,
+		BeforeWrite:   func() error { return r.checkWrite(endpoint) },
+		IsOwnResponse: func(h http.Header) bool { return r.f.Protocol.BelongsTo(r.req, h) },
 	})
 	if refusal, ok := errors.Into[*outcome.Refusal](err); ok {
 		return attemptResult{err: refusal, reason: refusal.Reason, report: peerv1.ReleaseOutcome_RELEASE_OUTCOME_CALLER_GONE}
@@ -375,7 +375,7 @@
 		if ctx.Err() != nil && e.mayHaveRun {
 			e.report = peerv1.ReleaseOutcome_RELEASE_OUTCOME_CALLER_GONE
 		} else if e.reason == outcome.ReasonSilent || e.reason == outcome.ReasonConnectionLost {
-			r.f.Pool.Drop(address(endpoint))
+			r.f.Pool.CloseIdle(address(endpoint))
 		}
 		e.terminated = r.terminated(ctx, e, endpoint)
 	}
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -39,7 +39,7 @@
 				return attemptResult{err: err, reason: outcome.ReasonCallerGone, mayHaveRun: true, report: peerv1.ReleaseOutcome_RELEASE_OUTCOME_CALLER_GONE}
 			}
 			pending = append(pending[:0], pending[whole:]...)
-			x.Patience(r.silenceTimeout(gapsUntilSilent * r.req.GapTarget))
+			x.SetReadTimeout(r.silenceTimeout(gapsUntilSilent * r.req.GapTarget))
 		}
 		switch {
 		case errors.Is(err, io.EOF):
--- a/internal/gateway/callers.go
+++ b/internal/gateway/callers.go
@@ -78,7 +78,7 @@
 
 // refuse responds to a request that no endpoint has answered.
 func (g *Gateway) refuse(w http.ResponseWriter, r *http.Request, call *wire.CallerRequest, refusal *outcome.Refusal) {
-	g.metrics.Refused(refusal.Reason)
+	g.metrics.CountRefusal(refusal.Reason)
 	g.logger.Info("refused", "request", call.ID, "outcome", refusal.Outcome, "reason", refusal.Reason, "message", refusal.Message,
 		"config", g.holder.Summary().Config, "configAgeMs", g.configAgeMs())
 	if refusal.Reason == outcome.ReasonBadRequest || refusal.Reason == outcome.ReasonTooLarge || g.leaving() {
@@ -242,7 +242,7 @@
 		LastEvent:    call.LastEvent,
 		ReceivedAt:   began,
 		Deadline:     began + wait,
-		Logged:       g.sampler.Pick(),
+		Logged:       g.sampler.Sample(),
 	}
 }
 
--- a/internal/http1/exchange.go
+++ b/internal/http1/exchange.go
@@ -21,15 +21,15 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Fresh requires a new connection.
-	Fresh bool
-	// Check is called right before the request is written, after the connection
-	// was opened. If it returns an error, the request is not sent. Check may be
-	// nil.
-	Check func() error
-	// Mine reports whether a response with these headers belongs to this
-	// request.
-	Mine func(http.Header) bool
+	// NewConnection requires a new connection.
+	NewConnection bool
+	// BeforeWrite is called right before the request is written, after the
+	// connection was opened. If it returns an error, the request is not sent.
+	// BeforeWrite may be nil.
+	BeforeWrite func() error
+	// IsOwnResponse reports whether a response with these headers belongs to
+	// this request. If nil, every response does.
+	IsOwnResponse func(http.Header) bool
 }
 
 const (
@@ -42,8 +42,9 @@
 	maxForeignResponses = 3
 )
 
-// ErrForeign is returned if only responses to other requests were received.
-var ErrForeign = errors.New("answers of other requests")
+// ErrForeignResponse is returned if only responses to other requests were
+// received.
+var ErrForeignResponse = errors.New("answers of other requests")
 
 // Exchange is a request on its connection. Only Abort may be called
 // concurrently with other methods.
@@ -62,13 +63,13 @@
 }
 
 // Send writes a request to an address. It tries another connection only as long
-// as no byte of the request was written. An error other than Check's is
+// as no byte of the request was written. An error other than BeforeWrite's is
 // ErrNotSent: once a byte was written, Send succeeds and failures are reported
 // by the Exchange.
 func (p *Pool) Send(ctx context.Context, address string, r *Request) (*Exchange, error) {
 	head := writeHead(r)
 	for {
-		c, err := p.connection(ctx, address, r.Fresh)
+		c, err := p.connection(ctx, address, r.NewConnection)
 		if err != nil {
 			return nil, err
 		}
@@ -88,10 +89,10 @@
 }
 
 func (r *Request) check() error {
-	if r.Check == nil {
+	if r.BeforeWrite == nil {
 		return nil
 	}
-	return r.Check()
+	return r.BeforeWrite()
 }
 
 func (p *Pool) connection(ctx context.Context, address string, fresh bool) (*conn, error) {
@@ -156,8 +157,8 @@
 // one.
 func (x *Exchange) Reused() bool { return x.conn.reused }
 
-// Patience sets the timeout for reading from now on; zero means none.
-func (x *Exchange) Patience(d time.Duration) {
+// SetReadTimeout sets the timeout for reading from now on; zero means none.
+func (x *Exchange) SetReadTimeout(d time.Duration) {
 	var deadline time.Time
 	if d > 0 {
 		deadline = time.Now().Add(d)
@@ -178,7 +179,7 @@
 		if resp.StatusCode/100 == 1 {
 			continue
 		}
-		if x.request.Mine == nil || x.request.Mine(resp.Header) {
+		if x.request.IsOwnResponse == nil || x.request.IsOwnResponse(resp.Header) {
 			x.resp = resp
 			return resp, nil
 		}
@@ -189,7 +190,7 @@
 			return nil, errors.Wrap(err, "pass over an answer")
 		}
 	}
-	return nil, ErrForeign
+	return nil, ErrForeignResponse
 }
 
 // Buffered returns the number of bytes that can be read without waiting.
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -81,12 +81,12 @@
 // exchangeOnce sends one request and returns the body of its response.
 func exchangeOnce(p *Pool, address, id string) (string, error) {
 	x, err := p.Send(context.Background(), address, &Request{
-		Method: http.MethodPost,
-		Target: "/a?b=%7c|",
-		Host:   "x.example",
-		Header: http.Header{"Id": {id}},
-		Body:   []byte(id),
-		Mine:   func(h http.Header) bool { return h.Get("Id") == "" || h.Get("Id") == id },
+		Method:        http.MethodPost,
+		Target:        "/a?b=%7c|",
+		Host:          "x.example",
+		Header:        http.Header{"Id": {id}},
+		Body:          []byte(id),
+		IsOwnResponse: func(h http.Header) bool { return h.Get("Id") == "" || h.Get("Id") == id },
 	})
 	if err != nil {
 		return "", err
--- a/internal/http1/pool.go
+++ b/internal/http1/pool.go
@@ -154,9 +154,9 @@
 	}
 }
 
-// Drop closes the idle connections to an address. It is called after one
+// CloseIdle closes the idle connections to an address. It is called after one
 // connection was found stalled or lost, since the others often are as well.
-func (p *Pool) Drop(address string) {
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	list := p.idle[address]
 	delete(p.idle, address)
--- a/internal/http1/probe.go
+++ b/internal/http1/probe.go
@@ -19,10 +19,10 @@
 	return true
 }
 
-// Ended reports whether the address has no listener any more, that is, whether
+// HasTerminated reports whether the address has no listener any more, that is, whether
 // its machine refuses connections. If a connection can be opened, it is kept
 // for the next request.
-func (p *Pool) Ended(ctx context.Context, address string) bool {
+func (p *Pool) HasTerminated(ctx context.Context, address string) bool {
 	c, err := p.dial(ctx, address)
 	if err != nil {
 		return endpoint.IsConnectionRefused(err)
--- a/internal/http1/probe_test.go
+++ b/internal/http1/probe_test.go
@@ -16,7 +16,7 @@
 	}
 	p := newTestPool()
 	address := l.Addr().String()
-	if p.Ended(context.Background(), address) {
+	if p.HasTerminated(context.Background(), address) {
 		t.Error("an endpoint that listens is reported as terminated")
 	}
 	if len(p.idle[address]) != 1 {
@@ -34,7 +34,7 @@
 	for p.Alive(address) {
 		time.Sleep(time.Millisecond)
 	}
-	if !p.Ended(context.Background(), address) {
+	if !p.HasTerminated(context.Background(), address) {
 		t.Error("an endpoint that refuses connections is not reported as terminated")
 	}
 	p.dial = func(ctx context.Context, _ string) (net.Conn, error) {
@@ -43,7 +43,7 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	if p.Ended(context.Background(), address) {
+	if p.HasTerminated(context.Background(), address) {
 		t.Error("an endpoint that can't be reached is reported as terminated")
 	}
 }
--- a/internal/logline/limit.go
+++ b/internal/logline/limit.go
@@ -31,8 +31,9 @@
 // NewSampler returns a sampler.
 func NewSampler(clock clockwork.Clock) *Sampler { return &Sampler{clock: clock} }
 
-// Pick reports whether the routine decisions of a new request are to be logged.
-func (s *Sampler) Pick() bool {
+// Sample reports whether the routine decisions of a new request are to be
+// logged.
+func (s *Sampler) Sample() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if now := s.clock.Now().Unix(); now != s.second {
--- a/internal/logline/logline_test.go
+++ b/internal/logline/logline_test.go
@@ -80,7 +80,7 @@
 	picked := 0
 	for range 3 {
 		for range 50 {
-			if s.Pick() {
+			if s.Sample() {
 				picked++
 			}
 		}
--- a/internal/logline/trace.go
+++ b/internal/logline/trace.go
@@ -27,19 +27,19 @@
 	Fields map[string]string
 }
 
-// Story has the log lines of one request and the state changes of the hosts
+// Trace has the log lines of one request and the state changes of the hosts
 // that handled it.
-type Story struct {
+type Trace struct {
 	// Request is the request's id, or the fingerprint that all attempts of a
 	// caller share.
 	Request string
 	// Entries are the request's lines, ordered by time.
 	Entries []Entry
-	// Around are the state changes of the request's hosts, from contextBefore
-	// before its first line until its last line.
-	Around []Entry
-	// Lines counts all lines, Broken those that could not be parsed.
-	Lines, Broken int
+	// StateChanges are the state changes of the request's hosts, from
+	// contextBefore before its first line until its last line.
+	StateChanges []Entry
+	// Lines counts all lines, Unparsed those that could not be parsed.
+	Lines, Unparsed int
 }
 
 // contextBefore is how long before a request's first line state changes are
@@ -57,11 +57,12 @@
 	"configuration not taken": true, "requests are cut off": true,
 }
 
-// Tell reads logs and returns the lines of one request, selected by its id or
-// by the fingerprint that all attempts of a caller share. Text before the JSON
-// object of a line, such as a timestamp added by another program, is skipped.
-func Tell(request string, logs ...io.Reader) (*Story, error) {
-	s := &Story{Request: request}
+// ReadTrace reads logs and returns the lines of one request, selected by its id
+// or by the fingerprint that all attempts of a caller share. Text before the
+// JSON object of a line, such as a timestamp added by another program, is
+// skipped.
+func ReadTrace(request string, logs ...io.Reader) (*Trace, error) {
+	s := &Trace{Request: request}
 	var changes []Entry
 	for _, log := range logs {
 		lines := bufio.NewScanner(log)
@@ -70,7 +71,7 @@
 			s.Lines++
 			e, ok := parseEntry(lines.Bytes())
 			if !ok {
-				s.Broken++
+				s.Unparsed++
 				continue
 			}
 			switch {
@@ -93,7 +94,7 @@
 
 // addContext adds the state changes around the request, on the hosts that the
 // request's lines name.
-func (s *Story) addContext(changes []Entry) {
+func (s *Trace) addContext(changes []Entry) {
 	if len(s.Entries) == 0 {
 		return
 	}
@@ -106,7 +107,7 @@
 	to := s.Entries[len(s.Entries)-1].Time
 	for _, e := range changes {
 		if hosts[e.Host] && !e.Time.Before(from) && !e.Time.After(to) {
-			s.Around = append(s.Around, e)
+			s.StateChanges = append(s.StateChanges, e)
 		}
 	}
 }
@@ -143,7 +144,7 @@
 
 // Write prints the request's lines and the state changes, with times relative
 // to the request's first line.
-func (s *Story) Write(w io.Writer) {
+func (s *Trace) Write(w io.Writer) {
 	if len(s.Entries) == 0 {
 		fmt.Fprintf(w, "no line of %d has the request %s\n", s.Lines, s.Request)
 		return
@@ -156,14 +157,14 @@
 	for _, e := range s.Entries {
 		writeEntry(e)
 	}
-	if len(s.Around) > 0 {
+	if len(s.StateChanges) > 0 {
 		fmt.Fprintln(w, "state changes on its hosts:")
 	}
-	for _, e := range s.Around {
+	for _, e := range s.StateChanges {
 		writeEntry(e)
 	}
-	if s.Broken > 0 {
-		fmt.Fprintf(w, "%d of %d lines could not be parsed\n", s.Broken, s.Lines)
+	if s.Unparsed > 0 {
+		fmt.Fprintf(w, "%d of %d lines could not be parsed\n", s.Unparsed, s.Lines)
 	}
 }
 
--- a/internal/logline/trace_test.go
+++ b/internal/logline/trace_test.go
@@ -24,8 +24,8 @@
 // The lines of a request are collected from several logs, ordered by time,
 // together with the state changes on its hosts. Lines that can't be parsed are
 // counted.
-func TestTell(t *testing.T) {
-	s, err := Tell("r1", strings.NewReader(logA), strings.NewReader(logB))
+func TestReadTrace(t *testing.T) {
+	s, err := ReadTrace("r1", strings.NewReader(logA), strings.NewReader(logB))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,8 +35,8 @@
 }
 
 // A request without any lines is reported as such.
-func TestTellUnknown(t *testing.T) {
-	s, err := Tell("none", strings.NewReader(logA))
+func TestReadTraceUnknown(t *testing.T) {
+	s, err := ReadTrace("none", strings.NewReader(logA))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,12 +49,12 @@
 
 // Repeats of a request have different ids; the fingerprint selects the lines of
 // all of them.
-func TestTellFingerprint(t *testing.T) {
+func TestReadTraceFingerprint(t *testing.T) {
 	log := `{"time":"2026-01-01T00:00:10Z","msg":"attempt failed","host":"a","request":"r1","fingerprint":"f"}
 {"time":"2026-01-01T00:00:11Z","msg":"attempt failed","host":"b","request":"r2","fingerprint":"f"}
 {"time":"2026-01-01T00:00:12Z","msg":"attempt failed","host":"b","request":"r3","fingerprint":"g"}
 `
-	s, err := Tell("f", strings.NewReader(log))
+	s, err := ReadTrace("f", strings.NewReader(log))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -93,11 +93,11 @@
 	return otherClass
 }
 
-// Refused counts a refusal under its reason.
-func (r *Registry) Refused(reason outcome.Reason) { r.Inc("refused." + string(reason)) }
+// CountRefusal counts a refusal under its reason.
+func (r *Registry) CountRefusal(reason outcome.Reason) { r.Inc("refused." + string(reason)) }
 
-// Retried counts a retry under its reason.
-func (r *Registry) Retried(reason outcome.Reason) { r.Inc("retried." + string(reason)) }
+// CountRetry counts a retry under its reason.
+func (r *Registry) CountRetry(reason outcome.Reason) { r.Inc("retried." + string(reason)) }
 
 // Counters returns the values of all counters and gauges by name.
 func (r *Registry) Counters() map[string]int64 {
--- a/internal/metric/metric_test.go
+++ b/internal/metric/metric_test.go
@@ -11,7 +11,7 @@
 
 func TestPrometheusText(t *testing.T) {
 	r := metric.NewRegistry()
-	r.Refused(outcome.ReasonShed)
+	r.CountRefusal(outcome.ReasonShed)
 	r.Add("refused.deadline", 2)
 	r.Inc("control.tablePoll.bytesSent")
 	r.Set("table.version", 7)
--- a/internal/order/group.go
+++ b/internal/order/group.go
@@ -94,7 +94,7 @@
 	if err != nil {
 		return g.handleError(err)
 	}
-	o := engine.WantedOrder(e)
+	o := engine.OrderFor(e)
 	o.Fence = l.Fence
 	converged := state.Meets(&o)
 	fenceKnown := !e.ChecksFence || state.Fence >= o.Fence
@@ -138,10 +138,10 @@
 
 func (g *group) handleError(err error) time.Duration {
 	switch {
-	case errors.Is(err, engine.ErrNoOrders):
+	case errors.Is(err, engine.ErrOrdersUnsupported):
 		g.r.Metrics.Inc("order.unsupported")
 		return unsupportedInterval
-	case errors.Is(err, engine.ErrOldFence):
+	case errors.Is(err, engine.ErrStaleFence):
 		// Another holder has taken over, so the lease is lost, even if it has
 		// not expired by the local clock.
 		g.r.Metrics.Inc("order.oldFence")
--- a/internal/order/script_test.go
+++ b/internal/order/script_test.go
@@ -183,7 +183,7 @@
 		r.t.Fatalf("%s: the daemon has no pending order", name)
 	}
 	err := d.pendingOrder()
-	if s.Error == "oldFence" && !errors.Is(err, engine.ErrOldFence) || s.Error == "" && err != nil {
+	if s.Error == "oldFence" && !errors.Is(err, engine.ErrStaleFence) || s.Error == "" && err != nil {
 		r.t.Errorf("%s: unexpected error %v", name, err)
 	}
 }
--- a/internal/placement/link.go
+++ b/internal/placement/link.go
@@ -130,7 +130,7 @@
 		return
 	}
 	delete(p.links, l.host.ID)
-	p.metrics.Retried(outcome.ReasonNoCoordinator)
+	p.metrics.CountRetry(outcome.ReasonNoCoordinator)
 	p.unsettled[l.host.ID] = l.batch > l.acked
 	if l.acked == 0 {
 		p.suspect(l.host.ID)
--- a/internal/service/client.go
+++ b/internal/service/client.go
@@ -19,15 +19,15 @@
 var (
 	// ErrNotSent means that no byte of the request was written.
 	ErrNotSent = endpoint.ErrNotSent
-	// ErrUnknown means that no response was received.
-	ErrUnknown = errors.New("no answer from the service")
+	// ErrNoResponse means that no response was received.
+	ErrNoResponse = errors.New("no answer from the service")
 	// ErrSilent means that the response did not begin before its deadline.
 	ErrSilent = endpoint.ErrSilent
 	// ErrTruncated means that the response ended before its stated length, or
 	// that it has no length by which to detect truncation.
 	ErrTruncated = errors.New("the service's answer is cut off")
-	// ErrWrongAnswer means that the response belongs to another request.
-	ErrWrongAnswer = errors.New("the service answered another request")
+	// ErrWrongResponse means that the response belongs to another request.
+	ErrWrongResponse = errors.New("the service answered another request")
 	// ErrTooLarge means that the response exceeds the size limit.
 	ErrTooLarge = errors.New("the service's answer is too large")
 )
@@ -108,14 +108,14 @@
 	if errors.Is(err, ErrNotSent) || errors.Is(err, ErrSilent) {
 		return err
 	}
-	return errors.Wrap(ErrUnknown, err.Error())
+	return errors.Wrap(ErrNoResponse, err.Error())
 }
 
 // readResponse validates the response and reads its body.
 func (c *Client) readResponse(e *table.Endpoint, id string, response *endpoint.Response) (*Response, error) {
 	if e.EchoesID && response.Header.Get(headerRequestID) != id {
 		response.Discard()
-		return nil, ErrWrongAnswer
+		return nil, ErrWrongResponse
 	}
 	if !hasVerifiableLength(response.Response) {
 		response.Discard()
--- a/internal/service/faults_test.go
+++ b/internal/service/faults_test.go
@@ -149,8 +149,8 @@
 
 func errorName(err error) string {
 	for name, known := range map[string]error{
-		"notSent": service.ErrNotSent, "unknown": service.ErrUnknown, "silent": service.ErrSilent,
-		"truncated": service.ErrTruncated, "wrongAnswer": service.ErrWrongAnswer,
+		"notSent": service.ErrNotSent, "unknown": service.ErrNoResponse, "silent": service.ErrSilent,
+		"truncated": service.ErrTruncated, "wrongAnswer": service.ErrWrongResponse,
 	} {
 		if errors.Is(err, known) {
 			return name
